--- a/src/core/accord.cpp
+++ b/src/core/accord.cpp
@@ -26,7 +26,7 @@
         next_word_ = t + constants::pressure_word_every_s;
         ctx_.info("pressure: {}", ctx_.pressure.take_words(t));
     }
-    if (members_.leading() && members_.in_contact() && ctx_.upgraded(level_now)) {
+    if (members_.is_leader() && members_.in_contact() && ctx_.upgraded(level_now)) {
         lead();
     }
 }
--- a/src/core/context.hpp
+++ b/src/core/context.hpp
@@ -158,7 +158,9 @@
     // This process's membership; id 0 while it is in no epoch. Kept by Membership.
     Member me;
     bool member = false;
-    Token token = 0;
+    // The fencing token: the number of the newest epoch read. Workers turn away any controller
+    // whose token is older than one they have seen. Kept by Membership.
+    Token fencing_token = 0;
     // A value that only the old limits allow was refused.
     bool limits_dropped = false;
     // Jobs one of whose block records has become too large to be put: see Conversion.
--- a/src/core/finals.cpp
+++ b/src/core/finals.cpp
@@ -171,7 +171,7 @@
 }
 
 void Finals::tick() {
-    if (members_.leading()) {
+    if (members_.is_leader()) {
         finish_jobs();
         move();
     }
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -220,7 +220,7 @@
         refuse(request, 503);
         return;
     }
-    if (r.token > ctx_.token) {
+    if (r.token > ctx_.fencing_token) {
         // A newer epoch exists that this process hasn't heard of: it may not command.
         refuse(request, 421);
         return;
@@ -237,7 +237,7 @@
         WorkerReply reply;
         reply.request = request;
         reply.status = 200;
-        reply.token = ctx_.token;
+        reply.token = ctx_.fencing_token;
         ctx_.out.emplace_back(reply);
         return;
     }
@@ -261,7 +261,7 @@
         m.asking = true;
         asking_.push_back(&m);
     }
-    if (r.token == ctx_.token && !m.adopted) {
+    if (r.token == ctx_.fencing_token && !m.adopted) {
         m.adopted = true;
         ctx_.info("machine {}: adopted in session {} with {} tasks", m.name, m.session,
                   m.tasks.size());
@@ -468,7 +468,7 @@
         return;
     }
     reply.status = 200;
-    reply.token = ctx_.token;
+    reply.token = ctx_.fencing_token;
     if (m.adopted) {
         std::set<TaskId> live;
         for (const auto& [attempt, status] : m.tasks) {
@@ -571,7 +571,7 @@
     OrderCall call;
     call.machine = m.name;
     call.address = m.address;
-    call.token = ctx_.token;
+    call.token = ctx_.fencing_token;
     call.session = m.session;
     call.commands.push_back({Command::Kind::stop, task.first, task.second, s.grace_s});
     ctx_.order(call, [](const OrderReply&) {
@@ -605,7 +605,7 @@
                 before->has(ctx_.me.id);
     int taken = 0;
     for (auto& [name, m] : machines_) {
-        bool mine = members_.mine(name, m.zone);
+        bool mine = members_.owned_by_us(name, m.zone);
         m.room_known = false;
         if (mine && m.mine && next) {
             continue;
@@ -628,7 +628,7 @@
         }
     }
     if (taken > 0) {
-        ctx_.info("epoch {}: took over {} machines", ctx_.token, taken);
+        ctx_.info("epoch {}: took over {} machines", ctx_.fencing_token, taken);
     }
 }
 
@@ -651,11 +651,13 @@
     OrderCall call;
     call.machine = m.name;
     call.address = m.address;
-    call.token = ctx_.token;
+    call.token = ctx_.fencing_token;
     call.session = std::max<std::uint64_t>(m.session, 1);
-    ctx_.order(call, [this, name = m.name, token = ctx_.token, tries](const OrderReply& reply) {
+    Token token = ctx_.fencing_token;
+    ctx_.order(call, [this, name = m.name, token, tries](const OrderReply& reply) {
         Machine* m = find(name);
-        if (m == nullptr || !reply.report || !m->mine || token != ctx_.token || m->adopted) {
+        if (m == nullptr || !reply.report || !m->mine || token != ctx_.fencing_token ||
+            m->adopted) {
             return;
         }
         const Report& r = *reply.report;
@@ -663,7 +665,7 @@
             return;
         }
         take_in(*m, r);
-        if (r.token == ctx_.token) {
+        if (r.token == ctx_.fencing_token) {
             m->adopted = true;
             m->last_report = ctx_.now.steady;
             ctx_.info("machine {}: adopted in session {} with {} tasks", name, m->session,
@@ -695,7 +697,7 @@
         if (l.state == ListedState::running && m.running_since < 0) {
             m.running_since = ctx_.now.steady;
         }
-        if (!m.mine && members_.mine(m.name, m.zone)) {
+        if (!m.mine && members_.owned_by_us(m.name, m.zone)) {
             m.mine = true;
             m.adopted = false;
             m.owned_since = ctx_.now.steady;
@@ -885,13 +887,13 @@
         if (fresh) {
             m.zone = p.zone;
             m.born = ctx_.now.steady;
-            m.mine = members_.mine(m.name, m.zone);
+            m.mine = members_.owned_by_us(m.name, m.zone);
             m.owned_since = ctx_.now.steady;
         }
         touch_image(m, job->spec.image, job->spec.image_gb);
     }
     for (const auto& name : ctx_.jobs.take_touched_machines()) {
-        if (members_.leading()) {
+        if (members_.is_leader()) {
             conclude_gone(name);
         }
         Machine* m = find(name);
@@ -949,7 +951,7 @@
 void Fleet::sweep() {
     forget_old();
     fence_cancelled();
-    if (members_.leading()) {
+    if (members_.is_leader()) {
         for (const auto& [key, marks] : ctx_.jobs.marks()) {
             for (const auto& name : marks.gone) {
                 conclude_gone(name);  // also of claims that came after the machine's end
@@ -1000,7 +1002,7 @@
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
             const Machine* m = find(name);
-            bool ours = m != nullptr ? m->mine : members_.leading();
+            bool ours = m != nullptr ? m->mine : members_.is_leader();
             if (marks.fence && marks.gone.count(name) == 0 && ours) {
                 names.insert(name);
             }
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -117,7 +117,7 @@
         if (epoch) {
             const Member* m = epoch->find(ctx_.settings.name);
             in = m != nullptr && m->boot == ctx_.boot;
-            ctx_.token = epoch->number;
+            ctx_.fencing_token = epoch->number;
             if (in) {
                 ctx_.me = *m;
             }
@@ -128,7 +128,7 @@
             ctx_.info("epoch {}: members {}", epoch->number, names);
         }
         if (ctx_.member && !in) {
-            ctx_.info("epoch {}: this process is no longer a member", ctx_.token);
+            ctx_.info("epoch {}: this process is no longer a member", ctx_.fencing_token);
             leave();
         }
         ctx_.member = in;
@@ -491,12 +491,12 @@
     return best;
 }
 
-bool Membership::mine(const std::string& machine, const std::string& zone) const {
+bool Membership::owned_by_us(const std::string& machine, const std::string& zone) const {
     const Member* m = owner(machine, zone);
     return ctx_.member && m != nullptr && m->id == ctx_.me.id;
 }
 
-bool Membership::leading() const {
+bool Membership::is_leader() const {
     const auto& epoch = ctx_.jobs.epoch();
     return ctx_.member && epoch && !epoch->members.empty() &&
            epoch->members.front().id == ctx_.me.id;
--- a/src/core/membership.hpp
+++ b/src/core/membership.hpp
@@ -31,9 +31,11 @@
 
     // The member that a machine belongs to, nullptr without members.
     const Member* owner(const std::string& machine, const std::string& zone) const;
-    bool mine(const std::string& machine, const std::string& zone) const;
-    // The first member rents and returns machines.
-    bool leading() const;
+    // Whether this process is a member and the owner of that machine (see owner()).
+    bool owned_by_us(const std::string& machine, const std::string& zone) const;
+    // Whether this process is the leader: the first member of the current epoch. The leader alone
+    // scales out and scales in, and publishes the admission table.
+    bool is_leader() const;
 
     // Seconds since the state service last answered this process.
     double silent_s() const { return ctx_.now.steady - last_contact_; }
--- a/src/core/provisioner.cpp
+++ b/src/core/provisioner.cpp
@@ -7,7 +7,7 @@
 
 void Provisioner::epoch_changed() {
     next_list_ = 0;
-    if (members_.leading()) {
+    if (members_.is_leader()) {
         take_over();
     } else {
         // What they may still bring is the next leading member's: it was told.
@@ -90,7 +90,7 @@
     double t = ctx_.now.steady;
     if (!list_open_ && t >= next_list_) {
         // As often as the list is renewed, and no more pages than a share of the calls allows.
-        bool leading = members_.leading();
+        bool leading = members_.is_leader();
         double pages = 1 + std::floor(static_cast<double>(fleet_.machines().size()) /
                                       constants::machines_page);
         double calls = ctx_.settings.cloud_rps *
@@ -101,7 +101,7 @@
         list("");
     }
     release_unwritten();
-    if (!members_.leading() || !members_.in_contact() || fleet_.types().empty()) {
+    if (!members_.is_leader() || !members_.in_contact() || fleet_.types().empty()) {
         return;
     }
     release();
@@ -696,7 +696,8 @@
         for (int left = std::min(count, constants::rental_look); left > 0;
              left -= constants::rental_max) {
             Rental r;
-            r.request = fmt::format("{}-{}-{}", ctx_.settings.name, ctx_.token, ++rentals_made_);
+            r.request =
+                fmt::format("{}-{}-{}", ctx_.settings.name, ctx_.fencing_token, ++rentals_made_);
             r.kind = kind;
             r.count = std::min(left, constants::rental_max);
             rentals_.push_back(r);
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -367,7 +367,7 @@
     // It is back: its owner can't be reached from there.
     auto relayed = w.report(1, bare_report("vm-100000", "a", 0, 2));
     EXPECT_EQ(relayed.status, 200);
-    EXPECT_EQ(relayed.token, w.node(0).context().token);
+    EXPECT_EQ(relayed.token, w.node(0).context().fencing_token);
 }
 
 TEST_F(Three, MachinesWhoseOwnerIsCutOffFromThemKeepTheirLeases) {
@@ -437,7 +437,7 @@
     large.each = {40, 5, 300};
     w.submit_and_wait(0, large);
     ASSERT_TRUE(w.until([&] { return w.running("req-000001") == 12; }, 60));
-    Token token = w.node(0).context().token;
+    Token token = w.node(0).context().fencing_token;
     w.machines.at("vm-500003").hangs = true;
     w.run(1);
     EXPECT_EQ(w.report(1, bare_report("vm-100000", "a", token, 1)).status, 421);
@@ -566,7 +566,7 @@
     ASSERT_TRUE(w.until([&] { return !w.node(1).context().jobs.epoch()->find("n0"); }, 10));
     w.run(0.2);
     int owner = w.report(1, bare_report("vm-100000", "a", token, 4)).status == 200 ? 1 : 2;
-    Token next = w.node(owner).context().token;
+    Token next = w.node(owner).context().fencing_token;
     w.report(owner, bare_report("vm-100000", "a", token, 5));
     auto again = w.report(owner, bare_report("vm-100000", "a", next, 6));
     ASSERT_EQ(again.commands.size(), 1U);
