--- a/src/core/sheets.cpp
+++ b/src/core/batched_claims.cpp
@@ -1,4 +1,4 @@
-#include "core/sheets.hpp"
+#include "core/batched_claims.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -13,7 +13,7 @@
 }
 }  // namespace
 
-bool Sheets::shared(const Job& job) const {
+bool BatchedClaims::is_batched(const Job& job) const {
     const auto& table = ctx_.jobs.table();
     const JobSpec& s = job.spec;
     // The rules of placement of others look at more than one task.
@@ -22,41 +22,42 @@
 }
 
 // By zone: a job that is bound to one is its members', if there are any.
-const Sheets::Members& Sheets::members(const std::optional<std::string>& zone) const {
+const BatchedClaims::WeightedMembers& BatchedClaims::weighted_members(
+    const std::optional<std::string>& zone) const {
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
     Revision table = ctx_.jobs.revision_of(keys::table);
-    if (epoch != members_epoch_ || table != members_table_) {
-        members_.clear();
-        members_epoch_ = epoch;
-        members_table_ = table;
+    if (epoch != weighted_members_epoch_ || table != weighted_members_table_) {
+        weighted_members_by_zone_.clear();
+        weighted_members_epoch_ = epoch;
+        weighted_members_table_ = table;
         if (ctx_.jobs.epoch() && ctx_.jobs.table()) {
             const auto& parts = ctx_.jobs.table()->parts;
             for (const auto& m : ctx_.jobs.epoch()->members) {
                 auto part = parts.find(m.id);
                 // One that the table doesn't know yet is new, and has few machines.
                 int weight = part == parts.end() ? 1 : std::max(1, part->second.weight);
-                members_[""].emplace_back(m.id, weight);
-                members_[m.zone].emplace_back(m.id, weight);
+                weighted_members_by_zone_[""].emplace_back(m.id, weight);
+                weighted_members_by_zone_[m.zone].emplace_back(m.id, weight);
             }
         }
     }
-    auto it = zone ? members_.find(*zone) : members_.end();
-    return it != members_.end() ? it->second : members_[""];
+    auto it = zone ? weighted_members_by_zone_.find(*zone) : weighted_members_by_zone_.end();
+    return it != weighted_members_by_zone_.end() ? it->second : weighted_members_by_zone_[""];
 }
 
-bool Sheets::may_claim(const Job& job, int block) const {
-    if (!shared(job)) {
+bool BatchedClaims::may_claim(const Job& job, int block) const {
+    if (!is_batched(job)) {
         return true;
     }
     auto hash = stable_hash(fmt::format("{}/{}", job.spec.uid, block));
-    return admission::home_of(hash, members(job.spec.zone)) == ctx_.me.id;
+    return admission::home_of(hash, weighted_members(job.spec.zone)) == ctx_.me.id;
 }
 
-Condition Sheets::table_condition() const {
+Condition BatchedClaims::table_condition() const {
     return {keys::table, ctx_.jobs.revision_of(keys::table)};
 }
 
-std::size_t Sheets::frame() const {
+std::size_t BatchedClaims::record_overhead_bytes() const {
     std::size_t sum = constants::sheet_frame_bytes;
     for (const auto& z : ctx_.settings.zones) {
         sum += z.size() + 3;
@@ -64,25 +65,26 @@
     return sum;
 }
 
-std::size_t Sheets::most() const {
+std::size_t BatchedClaims::max_record_bytes() const {
     return std::min(ctx_.value_max(), constants::sheet_bytes);
 }
 
-std::size_t Sheets::room() const {
-    auto kept = static_cast<std::size_t>(static_cast<double>(most()) * constants::sheet_kept_share);
-    return most() - std::min(most() / 2, kept + frame());
+std::size_t BatchedClaims::entry_bytes_per_write() const {
+    auto kept = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
+                                         constants::sheet_kept_share);
+    return max_record_bytes() - std::min(max_record_bytes() / 2, kept + record_overhead_bytes());
 }
 
-std::size_t Sheets::kept_bytes(const std::string& key) const {
+std::size_t BatchedClaims::live_bytes(const std::string& key) const {
     Revision revision = ctx_.jobs.revision_of(key);
-    Kept& kept = kept_[key];
-    if (kept.revision != revision || ctx_.now.steady >= kept.until) {
-        kept = {revision, count_kept(key), ctx_.now.steady + constants::sheet_count_s};
+    LiveBytes& kept = live_bytes_cache_[key];
+    if (kept.revision != revision || ctx_.now.steady >= kept.until_s) {
+        kept = {revision, count_live_bytes(key), ctx_.now.steady + constants::sheet_count_s};
     }
     return kept.bytes;
 }
 
-std::size_t Sheets::count_kept(const std::string& key) const {
+std::size_t BatchedClaims::count_live_bytes(const std::string& key) const {
     std::size_t sum = 0;
     auto it = ctx_.jobs.sheets().find(key);
     if (it != ctx_.jobs.sheets().end()) {
@@ -95,23 +97,23 @@
 
 // Of our own records the one of which least is still needed, if that is little enough: what is
 // needed is written again with what is new.
-Condition Sheets::target() const {
-    for (const auto& [key, doubt] : doubts_) {
+Condition BatchedClaims::next_record() const {
+    for (const auto& [key, doubt] : unknown_outcomes_) {
         // The next write of the same record decides: only one of the two can be carried out.
-        if (open_.count(key) == 0 && !decided(key)) {
+        if (writes_in_flight_.count(key) == 0 && !is_resolved(key)) {
             return {key, doubt.revision};
         }
     }
     auto prefix = prefix_of(ctx_.me.id);
     std::string best;
-    auto least =
-        static_cast<std::size_t>(static_cast<double>(most()) * constants::sheet_kept_share);
+    auto least = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
+                                          constants::sheet_kept_share);
     for (auto it = ctx_.jobs.sheets().lower_bound(prefix);
          it != ctx_.jobs.sheets().end() && it->first.compare(0, prefix.size(), prefix) == 0; ++it) {
-        if (open_.count(it->first) != 0 || doubts_.count(it->first) != 0) {
+        if (writes_in_flight_.count(it->first) != 0 || unknown_outcomes_.count(it->first) != 0) {
             continue;
         }
-        std::size_t kept = kept_bytes(it->first);
+        std::size_t kept = live_bytes(it->first);
         if (kept <= least) {
             least = kept;
             best = it->first;
@@ -125,7 +127,8 @@
     }
     std::uint64_t n = 1;  // a new one
     auto taken = [&](const std::string& key) {
-        return ctx_.jobs.revision_of(key) != 0 || open_.count(key) != 0 || doubts_.count(key) != 0;
+        return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.count(key) != 0 ||
+               unknown_outcomes_.count(key) != 0;
     };
     while (taken(keys::sheet(ctx_.me.id, n))) {
         ++n;
@@ -134,7 +137,7 @@
 }
 
 // What is still needed of a record is written again with what is new.
-void Sheets::add_needed(const std::string& key, Sheet& sheet) const {
+void BatchedClaims::append_live_entries(const std::string& key, Sheet& sheet) const {
     if (auto it = ctx_.jobs.sheets().find(key); it != ctx_.jobs.sheets().end()) {
         for (const auto& e : it->second) {
             if (ctx_.jobs.needed(*e)) {
@@ -145,8 +148,8 @@
 }
 
 // Whether a write without an answer was carried out or can't be any more.
-bool Sheets::decided(const std::string& key) const {
-    const Doubt& d = doubts_.at(key);
+bool BatchedClaims::is_resolved(const std::string& key) const {
+    const UnknownOutcome& d = unknown_outcomes_.at(key);
     return ctx_.jobs.revision_of(key) != d.revision ||
            ctx_.jobs.revision_of(keys::epoch) != d.epoch;
 }
@@ -154,85 +157,90 @@
 // Guards against a claim that is made anew in another record while the first may still be carried
 // out. A record in doubt is written once more, with nothing new: whichever comes first, the other
 // fails.
-void Sheets::decide() {
-    std::vector<std::function<void()>> over;
-    for (auto it = doubts_.begin(); it != doubts_.end();) {
+void BatchedClaims::resolve_unknown_outcomes() {
+    std::vector<std::function<void()>> resolved_waiters;
+    for (auto it = unknown_outcomes_.begin(); it != unknown_outcomes_.end();) {
         auto& [key, doubt] = *it;
-        if (decided(key)) {
-            std::move(doubt.over.begin(), doubt.over.end(), std::back_inserter(over));
-            it = doubts_.erase(it);
+        if (is_resolved(key)) {
+            std::move(doubt.waiters.begin(), doubt.waiters.end(),
+                      std::back_inserter(resolved_waiters));
+            it = unknown_outcomes_.erase(it);
             continue;
         }
-        if (open_.count(key) == 0 && ctx_.member && ctx_.now.steady >= doubt.next_try) {
-            doubt.next_try = ctx_.now.steady + constants::retry_state_s;
+        if (writes_in_flight_.count(key) == 0 && ctx_.member &&
+            ctx_.now.steady >= doubt.next_retry_s) {
+            doubt.next_retry_s = ctx_.now.steady + constants::retry_state_s;
             Sheet sheet;
-            add_needed(key, sheet);
+            append_live_entries(key, sheet);
             Txn txn;
             txn.purpose = Txn::Purpose::sheet;
             txn.conditions = {ctx_.epoch_condition(), {key, doubt.revision}};
             txn.writes = {{key, encode(sheet)}};
-            open_.insert(key);
+            writes_in_flight_.insert(key);
             ctx_.txn(std::move(txn), [this, key = key](const StateReply& r) {
-                ctx_.when_settled(r, [this, key] { open_.erase(key); });
+                ctx_.when_settled(r, [this, key] { writes_in_flight_.erase(key); });
             });
         }
         ++it;
     }
-    for (const auto& each : over) {
+    for (const auto& each : resolved_waiters) {
         each();
     }
 }
 
-void Sheets::write(std::vector<Entry> entries, Txn txn,
-                   std::function<void(const StateReply&)> over) {
-    Condition where = target();
+void BatchedClaims::write(std::vector<Entry> entries, Txn txn,
+                          std::function<void(const StateReply&)> on_reply) {
+    Condition where = next_record();
     Sheet sheet;
-    add_needed(where.key, sheet);
+    append_live_entries(where.key, sheet);
     txn.spared = entries.size() - 1;
     std::move(entries.begin(), entries.end(), std::back_inserter(sheet.entries));
     txn.conditions.push_back(ctx_.epoch_condition());
     txn.conditions.push_back(where);
     txn.writes.push_back({where.key, encode(sheet)});
     txn.purpose = Txn::Purpose::sheet;
-    open_.insert(where.key);
+    writes_in_flight_.insert(where.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
-    ctx_.txn(std::move(txn), [this, where, epoch, over = std::move(over)](const StateReply& r) {
-        ctx_.when_settled(r, [this, key = where.key] { open_.erase(key); });
-        if (r.status == StateReply::Status::unknown) {
-            Doubt& doubt = doubts_[where.key];
-            doubt.revision = where.revision;
-            doubt.epoch = epoch;
-            doubt.over.emplace_back([over, r] { over(r); });
-        } else {
-            over(r);
-        }
-    });
+    ctx_.txn(std::move(txn),
+             [this, where, epoch, on_reply = std::move(on_reply)](const StateReply& r) {
+                 ctx_.when_settled(r, [this, key = where.key] { writes_in_flight_.erase(key); });
+                 if (r.status == StateReply::Status::unknown) {
+                     UnknownOutcome& doubt = unknown_outcomes_[where.key];
+                     doubt.revision = where.revision;
+                     doubt.epoch = epoch;
+                     doubt.waiters.emplace_back([on_reply, r] { on_reply(r); });
+                 } else {
+                     on_reply(r);
+                 }
+             });
 }
 
 // Whether a record of sheets has nothing that anybody needs, and nobody will write it again.
-bool Sheets::retired(const std::string& key) const {
+bool BatchedClaims::is_retirable(const std::string& key) const {
     auto prefix = prefix_of(ctx_.me.id);
     const auto& table = ctx_.jobs.table();
     const auto& epoch = ctx_.jobs.epoch();
-    bool mine = key.compare(0, prefix.size(), prefix) == 0;
+    bool own_record = key.compare(0, prefix.size(), prefix) == 0;
     bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.me.id;
-    bool over =
-        mine ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
-    return over && open_.count(key) == 0 && doubts_.count(key) == 0 && count_kept(key) == 0;
+    bool no_writer_left =
+        own_record ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
+    return no_writer_left && writes_in_flight_.count(key) == 0 &&
+           unknown_outcomes_.count(key) == 0 && count_live_bytes(key) == 0;
 }
 
-void Sheets::tick() {
-    decide();
-    if (!ctx_.member || retiring_ || ctx_.now.steady < next_retire_) {
+void BatchedClaims::tick() {
+    resolve_unknown_outcomes();
+    if (!ctx_.member || retire_in_flight_ || ctx_.now.steady < next_retire_s_) {
         return;
     }
-    next_retire_ = ctx_.now.steady + constants::retire_every_s;
-    std::erase_if(kept_, [&](const auto& k) { return ctx_.jobs.revision_of(k.first) == 0; });
+    next_retire_s_ = ctx_.now.steady + constants::retire_every_s;
+    std::erase_if(live_bytes_cache_,
+                  [&](const auto& k) { return ctx_.jobs.revision_of(k.first) == 0; });
     Txn txn;
     txn.urgency = Urgency::last;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, said] : ctx_.jobs.sheets()) {
-        if (txn.writes.size() < constants::sheets_retired && retired(key)) {
+        if (txn.writes.size() < constants::sheets_retired && is_retirable(key)) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
@@ -240,9 +248,10 @@
     if (txn.writes.empty()) {
         return;
     }
-    retiring_ = true;
-    ctx_.txn(std::move(txn),
-             [this](const StateReply& r) { ctx_.when_settled(r, [this] { retiring_ = false; }); });
+    retire_in_flight_ = true;
+    ctx_.txn(std::move(txn), [this](const StateReply& r) {
+        ctx_.when_settled(r, [this] { retire_in_flight_ = false; });
+    });
 }
 
 }  // namespace cranemoor::core
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "core/accord.hpp"
+#include "core/batched_claims.hpp"
 #include "core/context.hpp"
 #include "core/conversion.hpp"
 #include "core/dependencies.hpp"
@@ -18,7 +19,6 @@
 #include "core/quota.hpp"
 #include "core/requests.hpp"
 #include "core/scheduler.hpp"
-#include "core/sheets.hpp"
 
 namespace cranemoor::core {
 
@@ -57,7 +57,7 @@
     Context ctx_;
     Membership members_;
     Quota quota_;
-    Sheets sheets_;
+    BatchedClaims sheets_;
     Fleet fleet_;
     Flows flows_;
     Accord accord_;
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -90,7 +90,7 @@
 
 class Fleet {
   public:
-    Fleet(Context& ctx, Membership& members, const Quota& quota, Sheets& sheets)
+    Fleet(Context& ctx, Membership& members, const Quota& quota, BatchedClaims& sheets)
         : ctx_(ctx), members_(members), outcomes_(ctx, quota, *this, sheets), gang_stops_(ctx) {}
 
     // A report; relayed ones came over a peer and are never passed on again.
--- a/src/core/outcomes.cpp
+++ b/src/core/outcomes.cpp
@@ -65,7 +65,7 @@
 // meanwhile: a task that ended leaves its room at once, and the last one here to end writes them
 // all. What must start again, and what a team near its limit gives back, is urgent.
 bool Outcomes::due(const Job& job, const Block& block, const Pending& pending) const {
-    bool soon = job.cancelled || sheets_.shared(job);
+    bool soon = job.cancelled || batched_claims_.is_batched(job);
     double limit = soon ? constants::outcome_soon_s : constants::outcome_hold_s;
     if (ctx_.now.steady - pending.since >= limit || job.spec.kind == JobKind::gang) {
         return true;
@@ -231,7 +231,7 @@
 bool Outcomes::for_sheet(const Which& which) const {
     const Job& job = *ctx_.jobs.find(which.first);
     const auto& tasks = pending_.at(which).tasks;
-    if (!sheets_.shared(job) || job.block(which.second).fails > 0) {
+    if (!batched_claims_.is_batched(job) || job.block(which.second).fails > 0) {
         return false;
     }
     auto count = [&](auto what) { return std::count_if(tasks.begin(), tasks.end(), what); };
@@ -259,7 +259,8 @@
             (o.done ? entry.done : entry.lost).emplace_back(task, o.attempt);
         }
         std::size_t more = bytes_of(entry);
-        if (wait || bytes + more > sheets_.room() || ctx_.busy.count(key) != 0) {
+        if (wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
+            ctx_.busy.count(key) != 0) {
             pending.look = true;
             continue;
         }
@@ -274,7 +275,7 @@
     ctx_.busy.insert(taken.begin(), taken.end());
     sheet_open_ = true;
     next_sheet_ = ctx_.now.steady + constants::sheet_ends_every_s;
-    sheets_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
+    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
         sheet_open_ = false;
         settled(r, taken, written);
     });
--- a/src/core/outcomes.hpp
+++ b/src/core/outcomes.hpp
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
+#include "core/batched_claims.hpp"
 #include "core/context.hpp"
 #include "core/quota.hpp"
-#include "core/sheets.hpp"
 
 namespace cranemoor::core {
 
@@ -24,8 +24,8 @@
         bool error = false;  // the task itself failed
     };
 
-    Outcomes(Context& ctx, const Quota& quota, const Fleet& fleet, Sheets& sheets)
-        : ctx_(ctx), quota_(quota), fleet_(fleet), sheets_(sheets) {}
+    Outcomes(Context& ctx, const Quota& quota, const Fleet& fleet, BatchedClaims& sheets)
+        : ctx_(ctx), quota_(quota), fleet_(fleet), batched_claims_(sheets) {}
 
     void add(const TaskId& id, const Outcome& outcome);
     const Outcome* find(const Job& job, int task) const;
@@ -64,7 +64,7 @@
     Context& ctx_;
     const Quota& quota_;
     const Fleet& fleet_;
-    Sheets& sheets_;
+    BatchedClaims& batched_claims_;
     bool sheet_open_ = false;
     double next_sheet_ = 0;
     std::map<Which, Pending> pending_;
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -205,7 +205,7 @@
         if (blocks_open_ >= constants::claim_blocks_open) {
             return false;
         }
-        bool shared = sheets_.shared(*waiting.job);
+        bool shared = sheets_.is_batched(*waiting.job);
         double stagger = shared ? 0 : constants::home_stagger_s * static_cast<double>(waiting.turn);
         bool theirs =
             shared && waiting.job->block_count() == 1 && !sheets_.may_claim(*waiting.job, 0);
@@ -359,7 +359,7 @@
             !sheets_.may_claim(job, k)) {
             continue;
         }
-        bool shared = sheets_.shared(job);
+        bool shared = sheets_.is_batched(job);
         if (shared && sheets_open_ >= constants::sheets_open) {
             break;  // what is on its way goes first
         }
@@ -656,7 +656,7 @@
     }
     auto tasks = static_cast<int>(entry.placed.size());
     std::size_t bytes = bytes_of(entry);
-    if (!sheet_.entries.empty() && sheet_.bytes + bytes > sheets_.room()) {
+    if (!sheet_.entries.empty() && sheet_.bytes + bytes > sheets_.entry_bytes_per_write()) {
         send_sheet();
     }
     Txn& txn = sheet_.txn;
@@ -729,7 +729,7 @@
     if (batch.claims.empty()) {
         return;
     }
-    Condition where = sheets_.target();
+    Condition where = sheets_.next_record();
     for (auto& claim : batch.claims) {
         claim.key = where.key;
         claim.revision = where.revision;
--- a/src/core/scheduler.hpp
+++ b/src/core/scheduler.hpp
@@ -12,19 +12,19 @@
 #include <utility>
 #include <vector>
 
+#include "core/batched_claims.hpp"
 #include "core/context.hpp"
 #include "core/fleet.hpp"
 #include "core/flows.hpp"
 #include "core/membership.hpp"
 #include "core/quota.hpp"
-#include "core/sheets.hpp"
 
 namespace cranemoor::core {
 
 class Scheduler {
   public:
     Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota, const Flows& flows,
-              Sheets& sheets)
+              BatchedClaims& sheets)
         : ctx_(ctx),
           members_(members),
           fleet_(fleet),
@@ -160,7 +160,7 @@
     Fleet& fleet_;
     Quota& quota_;
     const Flows& flows_;
-    Sheets& sheets_;
+    BatchedClaims& sheets_;
     std::unordered_map<std::string, Wait> waits_;  // by job
     std::vector<std::string> skipped_;             // jobs that let machines pass in the last round
     std::map<std::string, Hold> holds_;            // by machine
