--- a/src/core/requests.cpp
+++ b/src/core/requests.cpp
@@ -113,7 +113,7 @@
         lately += ctx_.now.steady - at < constants::accepted_window_s ? jobs : 0;
     }
     double rate = std::max(1.0, static_cast<double>(lately) / constants::accepted_window_s);
-    int soon = static_cast<int>(static_cast<double>(door_.waiting()) / rate);
+    int soon = static_cast<int>(static_cast<double>(admission_controller_.waiting_count()) / rate);
     int most = std::clamp(soon, constants::retry_after_s, constants::retry_after_most_s);
     return 1 + static_cast<int>(stable_hash(uid) % static_cast<std::uint64_t>(most));
 }
@@ -133,7 +133,7 @@
     if (open_.size() < constants::user_queue_max) {
         return true;
     }
-    auto longest = door_.longest(flow);
+    auto longest = admission_controller_.flow_to_evict(flow);
     if (!longest) {
         return false;
     }
@@ -148,12 +148,12 @@
 
 void Requests::enqueue(Acceptance a) {
     auto flow = flow_of(a.spec);
-    door_.enter(flow);
+    admission_controller_.enqueue(flow);
     accepting_[flow].push_back(std::move(a));
 }
 
 Requests::Acceptance* Requests::first() {
-    while (auto flow = door_.next()) {
+    while (auto flow = admission_controller_.next_flow()) {
         Acceptance& a = accepting_.at(*flow).front();
         std::erase_if(a.requests, [&](std::uint64_t r) { return !take(r); });
         if (!a.requests.empty()) {
@@ -171,7 +171,7 @@
     auto which = how == Pulled::sent_away ? std::prev(list.end()) : list.begin();
     Acceptance a = std::move(*which);
     list.erase(which);
-    door_.leave(flow, how == Pulled::taken);
+    admission_controller_.dequeue(flow, how == Pulled::taken);
     if (list.empty()) {
         accepting_.erase(queue);
     }
--- a/src/core/requests.hpp
+++ b/src/core/requests.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/door.hpp"
+#include "admission/admission_controller.hpp"
 #include "core/budget.hpp"
 #include "core/context.hpp"
 #include "core/dependencies.hpp"
@@ -95,7 +95,7 @@
     Acceptance* first();
     enum class Pulled { taken, given_up, sent_away };
     Acceptance pull(const admission::FlowName& flow, Pulled how);
-    Acceptance take_first() { return pull(*door_.next(), Pulled::taken); }
+    Acceptance take_first() { return pull(*admission_controller_.next_flow(), Pulled::taken); }
     JobRecord new_record(const Acceptance& a) const;
     void accept_dependent(std::uint64_t request, const JobSpec& spec);
     void write_parts(const Acceptance& a);
@@ -118,7 +118,7 @@
     std::map<std::uint64_t, Waiting> open_;
     std::vector<std::uint64_t> queued_;                                // for the next read check
     std::map<admission::FlowName, std::deque<Acceptance>> accepting_;  // none of them empty
-    admission::Door door_;                                             // to them
+    admission::AdmissionController admission_controller_;              // to them
     std::deque<std::pair<double, std::size_t>> accepted_;  // jobs accepted lately, and when
     std::set<std::string> on_way_;                         // accepted here, not yet in the copy
     std::size_t accepts_open_ = 0;                         // records of accepted jobs on their way
--- a/tests/door_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -1,5 +1,5 @@
-// Door: submissions of all flows have their turn, however many one of them sends.
-#include "admission/door.hpp"
+// AdmissionController: submissions of all flows have their turn, however many one of them sends.
+#include "admission/admission_controller.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,26 +10,26 @@
 namespace cranemoor::test {
 namespace {
 
-using admission::Door;
+using admission::AdmissionController;
 using admission::FlowName;
 
 const FlowName sweep{"red", "sweep"};
 const FlowName desk{"red", "desk"};
 
-TEST(DoorTest, EveryFlowHasItsTurnAndTheLongestMakesRoom) {
-    Door door;
+TEST(AdmissionControllerTest, EveryFlowHasItsTurnAndTheLongestMakesRoom) {
+    AdmissionController controller;
     for (int i = 0; i < 100; ++i) {
-        door.enter(sweep);
+        controller.enqueue(sweep);
     }
     for (int i = 0; i < 10; ++i) {
-        door.leave(*door.next(), true);
+        controller.dequeue(*controller.next_flow(), true);
     }
-    door.enter(desk);
-    EXPECT_EQ(door.longest(desk), sweep);
-    EXPECT_EQ(door.longest(sweep), std::nullopt);
+    controller.enqueue(desk);
+    EXPECT_EQ(controller.flow_to_evict(desk), sweep);
+    EXPECT_EQ(controller.flow_to_evict(sweep), std::nullopt);
     int turns = 0;
-    while (door.next() != desk) {
-        door.leave(*door.next(), true);
+    while (controller.next_flow() != desk) {
+        controller.dequeue(*controller.next_flow(), true);
         ++turns;
     }
     EXPECT_LE(turns, 1);  // what the other had while nobody else waited is no debt
@@ -37,28 +37,28 @@
 
 // Drawn flows: whoever waits all the time gets at least its part of the turns, nobody who comes and
 // goes more than its own, and there is a turn for as long as anybody waits.
-TEST(DoorTest, HoldsForDrawnFlows) {
+TEST(AdmissionControllerTest, HoldsForDrawnFlows) {
     std::mt19937 rng(11);
     for (int round = 0; round < 200; ++round) {
-        Door door;
+        AdmissionController controller;
         std::size_t n = 2 + rng() % 6;
         auto name = [](std::size_t i) { return FlowName{"team", std::to_string(i)}; };
         std::vector<std::size_t> waits(n);
         std::vector<int> turns(n);
         waits[0] = 1000;
         for (std::size_t i = 0; i < waits[0]; ++i) {
-            door.enter(name(0));
+            controller.enqueue(name(0));
         }
         for (int turn = 0; turn < 600; ++turn) {
             std::size_t who = rng() % n;
             for (std::size_t more = rng() % 4; who != 0 && more > 0; --more) {
-                door.enter(name(who));
+                controller.enqueue(name(who));
                 ++waits[who];
             }
-            auto next = door.next();
+            auto next = controller.next_flow();
             ASSERT_TRUE(next);
             auto i = static_cast<std::size_t>(std::stoul(next->second));
-            door.leave(*next, true);
+            controller.dequeue(*next, true);
             --waits[i];
             ++turns[i];
         }
