--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -12,7 +12,7 @@
 #include <map>
 #include <optional>
 
-#include "admission/floors.hpp"
+#include "admission/min_share.hpp"
 
 namespace cranemoor::admission {
 
--- a/src/core/flows.cpp
+++ b/src/core/flows.cpp
@@ -159,24 +159,24 @@
 }
 
 // Flows that have tasks to place, without jobs that are likely to fail again.
-std::vector<admission::Flow> Flows::waiting_flows() const {
-    std::map<admission::FlowName, admission::Flow> flows;
+std::vector<admission::WaitingFlow> Flows::waiting_flows() const {
+    std::map<admission::FlowName, admission::WaitingFlow> flows;
     for (const auto& [uid, w] : waiting_) {
         if (w->job->doubtful()) {
             continue;
         }
-        admission::Flow& f = flows[{w->team, w->job_class}];
+        admission::WaitingFlow& f = flows[{w->team, w->job_class}];
         f.name = {w->team, w->job_class};
-        f.idle = w->priority == Priority::best_effort;
+        f.best_effort = w->priority == Priority::best_effort;
         // A job of which some is placed now and then is served, however long the rest waits: one
         // huge array of a guest would else go before everybody's work.
-        f.waited_s = std::max(f.waited_s, ctx_.now.steady - w->stuck_since);
+        f.longest_wait_s = std::max(f.longest_wait_s, ctx_.now.steady - w->stuck_since);
     }
-    std::vector<admission::Flow> list;
+    std::vector<admission::WaitingFlow> list;
     list.reserve(flows.size());
     for (auto& [name, f] : flows) {
-        f.weight = weight(name.first);
-        f.ahead = lacks_.count(name) != 0;
+        f.team_weight = weight(name.first);
+        f.was_below_min_share = lacks_.count(name) != 0;
         list.push_back(std::move(f));
     }
     return list;
@@ -191,7 +191,7 @@
     next_look_ = ctx_.now.steady + constants::floors_every_s;
     auto flows = waiting_flows();
     bool late = std::any_of(flows.begin(), flows.end(), [](const auto& f) {
-        return f.ahead || f.waited_s >= constants::floor_after_s;
+        return f.was_below_min_share || f.longest_wait_s >= constants::floor_after_s;
     });
     std::map<admission::FlowName, double> next;
     if (late) {
@@ -203,11 +203,11 @@
             }
         }
         for (auto& f : flows) {
-            f.holds = holds[f.name];
+            f.machines_held = holds[f.name];
         }
         auto up = std::count_if(fleet_.all().begin(), fleet_.all().end(),
                                 [this](const Machine* m) { return fleet_.in_use(*m); });
-        next = admission::lacks(
+        next = admission::min_share_deficits(
             flows, static_cast<double>(up),
             {constants::floor_share, constants::floor_idle_share, constants::floor_after_s});
     }
--- a/src/core/flows.hpp
+++ b/src/core/flows.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "admission/floors.hpp"
+#include "admission/min_share.hpp"
 #include "core/context.hpp"
 #include "core/fleet.hpp"
 
@@ -87,7 +87,7 @@
     using Key = std::pair<std::string, Priority>;
 
     std::vector<const Lane*> lanes(bool rush) const;
-    std::vector<admission::Flow> waiting_flows() const;
+    std::vector<admission::WaitingFlow> waiting_flows() const;
     double weight(const std::string& team) const;
     bool paused(const Waiting& w) const;
     // Whether this is of the copy of the records as it was last read whole.
