--- a/src/core/constants.hpp
+++ b/src/core/constants.hpp
@@ -62,7 +62,7 @@
 inline constexpr double start_known_s = 2.0;
 // s after which the state service is asked for its revision, if no other answer named it: a second
 // is little beside the time that workers may be answered without
-inline constexpr double copy_time_every_s = 1.0;
+inline constexpr double safe_time_every_s = 1.0;
 
 // --- pressure -----------------------------------------------------------------------------
 // weight of one more change in what changes took lately: some ten count, a second's worth
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -109,16 +109,16 @@
 
 void Controller::state_reply(Now now, std::uint64_t id, const StateReply& reply) {
     ctx_.now = now;
-    members_.answered(id, reply);
+    members_.on_reply(id, reply);
     ctx_.state_reply(id, reply);
-    members_.copied();
+    members_.on_copy_advanced();
 }
 
 std::vector<Action> Controller::take() {
     auto out = std::exchange(ctx_.out, {});
     for (const auto& action : out) {
         if (const auto* call = std::get_if<StateCall>(&action)) {
-            members_.asked(*call);
+            members_.on_request_sent(*call);
         }
     }
     return out;
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -16,27 +16,27 @@
     grant();
 }
 
-void Membership::asked(const StateCall& call) {
+void Membership::on_request_sent(const StateCall& call) {
     bool names_revision = call.kind == StateCall::Kind::txn || call.kind == StateCall::Kind::list ||
                           call.kind == StateCall::Kind::watch;
     if (names_revision) {
-        copy_time_.asked(call.id, ctx_.now.steady);
+        safe_time_.on_request_sent(call.id, ctx_.now.steady);
     }
 }
 
-void Membership::answered(std::uint64_t call, const StateReply& reply) {
+void Membership::on_reply(std::uint64_t call_id, const StateReply& reply) {
     bool names_revision =
         reply.status == StateReply::Status::ok || reply.status == StateReply::Status::conflict;
-    copy_time_.answered(call, names_revision ? reply.revision : 0);
+    safe_time_.on_reply(call_id, names_revision ? reply.revision : 0);
     if (reply.status != StateReply::Status::refused &&
         reply.status != StateReply::Status::unknown) {
         last_contact_ = ctx_.now.steady;
     }
 }
 
-void Membership::copied() {
+void Membership::on_copy_advanced() {
     if (ctx_.jobs.loaded()) {
-        copy_time_.reached(ctx_.jobs.revision());
+        safe_time_.on_revision_applied(ctx_.jobs.revision());
     }
 }
 
@@ -303,8 +303,8 @@
         next_renew_ = t + constants::renew_every_s;
         renew();
     }
-    if (t - copy_time_.at() >= constants::copy_time_every_s) {
-        ask_copy_time();
+    if (t - safe_time_.complete_as_of() >= constants::safe_time_every_s) {
+        request_safe_time();
     }
     look_at_leases();
     if (t >= next_beat_) {
@@ -315,16 +315,16 @@
 
 // A compare-only transaction: its answer names the service's revision. Users' questions make such
 // checks many times a second; this one is for times without any.
-void Membership::ask_copy_time() {
-    if (asking_copy_time_ || !ctx_.jobs.loaded() || ctx_.now.steady < retry_at_) {
+void Membership::request_safe_time() {
+    if (requesting_safe_time_ || !ctx_.jobs.loaded() || ctx_.now.steady < retry_at_) {
         return;
     }
-    asking_copy_time_ = true;
+    requesting_safe_time_ = true;
     Txn txn;
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition()};
     ctx_.txn(txn, [this](const StateReply& r) {
-        asking_copy_time_ = false;
+        requesting_safe_time_ = false;
         if (r.status != StateReply::Status::ok && r.status != StateReply::Status::conflict) {
             retry_at_ = std::max(retry_at_, ctx_.now.steady + constants::retry_state_s);
         }
@@ -360,7 +360,7 @@
     read_leases::Self self;
     self.contact = in_contact();
     // Read since the start, it holds all that the process before told: that was durable first.
-    bool read = ctx_.jobs.loaded() && copy_time_.at() > -1e9;
+    bool read = ctx_.jobs.loaded() && safe_time_.complete_as_of() > -1e9;
     self.knows = read && known ? Knows::all : read_once_ ? Knows::some : Knows::nothing;
     LeaseHeartbeat out;
     out.heartbeat = leases_->next(peer, ctx_.now.steady, self);
@@ -400,7 +400,7 @@
     for (const auto& c : lease->cancelled) {
         note_cancelled(c.uid, c.wall);
     }
-    if (leases_->hear(peer, lease->heartbeat, ctx_.now.steady, copy_time_.at())) {
+    if (leases_->hear(peer, lease->heartbeat, ctx_.now.steady, safe_time_.complete_as_of())) {
         // Just started, it may not tell users of cancellations until it has heard from us.
         next_beat_ = ctx_.now.steady;
     }
@@ -438,10 +438,10 @@
 
 // An answer renews the worker's lease for lease_s from the report on, so a cancelled task may live
 // that long although it is unknown here. Hence the rule: every cancellation that users were told of
-// more than cancel_s - lease_s ago, less a margin, is known here. As of copy_time the copy has all;
-// beyond that the peers' read leases say until when nobody told anything else.
-// Guards against the gap: refused alone, while another controller confirms cancellations, and then
-// an outage for all, longer than cancel_s, in which "nobody has contact" says nothing of before.
+// more than cancel_s - lease_s ago, less a margin, is known here. As of the safe time the copy has
+// all; beyond that the peers' read leases say until when nobody told anything else. Guards against
+// the gap: refused alone, while another controller confirms cancellations, and then an outage for
+// all, longer than cancel_s, in which "nobody has contact" says nothing of before.
 bool Membership::may_answer_workers() const {
     if (!ctx_.member || !ctx_.whole) {
         return false;
@@ -457,7 +457,7 @@
 
 // s for which cancellations that users were told of may be unknown here.
 double Membership::unknown_for_s() const {
-    return ctx_.now.steady - leases_->known_until(copy_time_.at());
+    return ctx_.now.steady - leases_->known_until(safe_time_.complete_as_of());
 }
 
 bool Membership::may_start() const {
--- a/src/core/membership.hpp
+++ b/src/core/membership.hpp
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "core/context.hpp"
-#include "read_leases/copy_time.hpp"
 #include "read_leases/read_leases.hpp"
+#include "read_leases/safe_time.hpp"
 
 namespace cranemoor::core {
 
@@ -20,11 +20,13 @@
     void tick();
     void peer_message(const std::string& peer, bool contact, bool heartbeat,
                       const std::optional<LeaseHeartbeat>& lease);
-    // Of every call to the state service as it goes out, and of its answer.
-    void asked(const StateCall& call);
-    void answered(std::uint64_t call, const StateReply& reply);
-    // After an answer was taken in: how far the copy has come.
-    void copied();
+    // Every call to the key-value store as it goes out; calls whose reply names the store's
+    // revision (compare-and-swap, list, watch) count towards the safe time.
+    void on_request_sent(const StateCall& call);
+    // The reply to call `call_id`; any reply but refused or unknown proves contact with the store.
+    void on_reply(std::uint64_t call_id, const StateReply& reply);
+    // After a reply was applied to the copy: the revision the copy has reached moves the safe time.
+    void on_copy_advanced();
 
     // Called after the records changed, with whether the epoch did.
     std::function<void(bool epoch_changed, const std::optional<Epoch>& before)> on_change;
@@ -64,7 +66,7 @@
     void settle();  // after the records changed
     void renew();
     void leave();
-    void ask_copy_time();
+    void request_safe_time();
     double unknown_for_s() const;
     void look_at_leases();
     void beat();
@@ -96,9 +98,9 @@
     Revision epoch_revision_ = 0;
     std::optional<Epoch> epoch_before_;
     std::map<std::string, Heard> heard_;  // of each peer, last
-    read_leases::CopyTime copy_time_;
+    read_leases::SafeTime safe_time_;
     std::optional<read_leases::ReadLeases> leases_;  // from the start on
-    bool asking_copy_time_ = false;
+    bool requesting_safe_time_ = false;
     bool read_once_ = false;    // all records, since the start
     bool noted_ = false;        // a cancellation, which the others here still have to see
     bool had_contact_ = false;  // as the peers were told last
--- a/src/read_leases/read_leases.cpp
+++ b/src/read_leases/read_leases.cpp
@@ -61,7 +61,7 @@
 }
 
 bool ReadLeases::hear(const std::string& peer, const Heartbeat& heartbeat, double now,
-                      double copy_time) {
+                      double safe_time) {
     auto it = peers_.find(peer);
     if (it == peers_.end()) {
         return false;
@@ -88,7 +88,7 @@
             p.promises.erase(heartbeat.boot);
         }
         if (wants_ && heartbeat.grant != Grant::none) {
-            take_lease(p, heartbeat, now, copy_time);
+            take_lease(p, heartbeat, now, safe_time);
         }
     }
     return fresh;
@@ -102,22 +102,22 @@
 }
 
 void ReadLeases::take_lease(Peer& p, const Heartbeat& heartbeat, double now,
-                            double copy_time) const {
+                            double safe_time) const {
     auto asked = std::find_if(sent_.begin(), sent_.end(),
                               [&](const auto& s) { return s.first == heartbeat.heard_beat; });
     if (asked == sent_.end() || heartbeat.heard_beat < relies_from_) {
         return;
     }
-    bool unbroken = now <= p.covered || p.first_heard <= copy_time;
+    bool unbroken = now <= p.covered || p.first_heard <= safe_time;
     if (heartbeat.grant == Grant::full || unbroken) {
         p.covered = std::max(p.covered, asked->second + times_.lease_s - times_.margin_s);
     }
 }
 
-double ReadLeases::known_until(double copy_time) const {
+double ReadLeases::known_until(double safe_time) const {
     double known = 1e18;
     for (const auto& [name, p] : peers_) {
-        known = std::min(known, std::max(copy_time, p.covered));
+        known = std::min(known, std::max(safe_time, p.covered));
     }
     // Without peers nobody else tells anything, and of what this process and those before it told,
     // the copy has all: it is read anew after every start.
--- a/src/read_leases/read_leases.hpp
+++ b/src/read_leases/read_leases.hpp
@@ -70,14 +70,15 @@
     void begin(double now);
     Heartbeat next(const std::string& peer, double now, const Self& self);
     // A heartbeat arrived; true: from a process not heard before. The cancellations that came with
-    // it must be known by then. copy_time: as of when the own copy of the records is whole.
-    bool hear(const std::string& peer, const Heartbeat& heartbeat, double now, double copy_time);
+    // it must be known by then. safe_time: steady time as of which the own copy of the records is
+    // complete (SafeTime).
+    bool hear(const std::string& peer, const Heartbeat& heartbeat, double now, double safe_time);
 
     // A heartbeat that says nothing of leases: from a version before, which holds no leases.
     void hear_older(const std::string& peer);
 
     // Steady time until which all cancellations that anybody told are known here.
-    double known_until(double copy_time) const;
+    double known_until(double safe_time) const;
     // Whether a promise to tell users of no cancellation holds.
     bool promised(double now) const;
 
@@ -95,7 +96,7 @@
     };
 
     static bool newer(const Peer& p, const Heartbeat& heartbeat, bool echoes);
-    void take_lease(Peer& p, const Heartbeat& heartbeat, double now, double copy_time) const;
+    void take_lease(Peer& p, const Heartbeat& heartbeat, double now, double safe_time) const;
 
     std::map<std::string, Peer> peers_;
     std::string boot_;
--- a/tests/read_leases_test.cpp
+++ b/tests/read_leases_test.cpp
@@ -1,10 +1,8 @@
-// Read leases between controllers and the time of a copy: pure, so each story is a few calls.
+// Read leases between controllers: pure, so each story is a few calls.
 #include "read_leases/read_leases.hpp"
 
 #include <gtest/gtest.h>
 
-#include "read_leases/copy_time.hpp"
-
 namespace cranemoor::read_leases {
 namespace {
 
@@ -150,28 +148,5 @@
     EXPECT_DOUBLE_EQ(three.known_until(7), 7);
 }
 
-TEST(CopyTime, AnAnswerSpeaksForTheMomentOfItsRequestOnceTheCopyHasIt) {
-    CopyTime t;
-    t.asked(1, 10);
-    t.answered(1, 500);  // at whatever time
-    EXPECT_LT(t.at(), 0);
-    t.reached(499);
-    EXPECT_LT(t.at(), 0);
-    t.reached(500);
-    EXPECT_DOUBLE_EQ(t.at(), 10);
-    // An older request's answer, and one that names no revision, take nothing back.
-    t.asked(2, 9);
-    t.asked(3, 20);
-    t.asked(4, 30);
-    t.answered(2, 501);
-    t.answered(3, 0);
-    t.answered(4, 501);
-    t.reached(600);
-    EXPECT_DOUBLE_EQ(t.at(), 30);
-    t.answered(99, 700);  // nobody asked
-    t.reached(700);
-    EXPECT_DOUBLE_EQ(t.at(), 30);
-}
-
 }  // namespace
 }  // namespace cranemoor::read_leases
