--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -41,7 +41,7 @@
 
 bool Fleet::adopted(const std::string& name) const {
     const Machine* m = find(name);
-    return m != nullptr && m->mine && m->adopted;
+    return m != nullptr && m->owned_by_us && m->adopted;
 }
 
 // The machine of that name, and whether it was unknown so far.
@@ -88,25 +88,25 @@
 
 void Fleet::touch_image(Machine& m, const std::string& image, double gb) {
     int number = image_number(image);
-    std::erase_if(m.images, [&](const auto& i) { return i.first == number; });
-    m.images.insert(m.images.begin(), {number, gb});
+    std::erase_if(m.cached_images, [&](const auto& i) { return i.first == number; });
+    m.cached_images.insert(m.cached_images.begin(), {number, gb});
     const MachineType* t = type(m.type);
     if (t == nullptr) {
         return;
     }
     // The worker keeps the most recently used images; the estimate drops them the same way.
     double sum = 0;
-    for (auto it = m.images.begin(); it != m.images.end(); ++it) {
+    for (auto it = m.cached_images.begin(); it != m.cached_images.end(); ++it) {
         sum += it->second;
-        if (sum > t->cache_gb && it != m.images.begin()) {
-            m.images.erase(it, m.images.end());
+        if (sum > t->cache_gb && it != m.cached_images.begin()) {
+            m.cached_images.erase(it, m.cached_images.end());
             break;
         }
     }
 }
 
 bool Fleet::has_image(const Machine& m, int image) {
-    return std::any_of(m.images.begin(), m.images.end(),
+    return std::any_of(m.cached_images.begin(), m.cached_images.end(),
                        [&](const auto& i) { return i.first == image; });
 }
 
@@ -117,7 +117,7 @@
         return m.room;
     }
     m.room_known = true;
-    m.fetching.clear();
+    m.images_pulling.clear();
     const MachineType* t = type(m.type);
     if (t == nullptr) {
         m.room = {};
@@ -127,8 +127,9 @@
         auto status = m.tasks.find({id, on.place->attempt});
         if (status == m.tasks.end() || status->second.state == TaskState::fetching) {
             int image = image_number(on.job->spec.image);
-            if (std::find(m.fetching.begin(), m.fetching.end(), image) == m.fetching.end()) {
-                m.fetching.push_back(image);
+            if (std::find(m.images_pulling.begin(), m.images_pulling.end(), image) ==
+                m.images_pulling.end()) {
+                m.images_pulling.push_back(image);
             }
         }
     }
@@ -139,7 +140,7 @@
         bool exited = status.state == TaskState::exited;
         // A task that runs there without a placement still takes its room until it is stopped.
         bool extra = !here && !exited;
-        bool over = here && exited && p->attempt == attempt.second && m.mine && m.adopted;
+        bool over = here && exited && p->attempt == attempt.second && m.owned_by_us && m.adopted;
         const Job* job = extra || over ? ctx_.jobs.find(attempt.first.uid) : nullptr;
         if (job != nullptr) {
             m.room += job->spec.each * (over ? 1.0 : -1.0);
@@ -151,13 +152,15 @@
 bool Fleet::usable(const Machine& m) const {
     // A machine that is gone stays known for a moment longer than its mark; a silent one may be
     // gone: neither must be given work.
-    return m.mine && m.adopted && !m.gone && !m.notice_until &&
-           ctx_.now.steady >= m.no_claims_until && ctx_.now.steady - m.last_report <= silence_s() &&
-           !m.marking && !site(m).mark && type(m.type) != nullptr;
+    return m.owned_by_us && m.adopted && !m.release_confirmed && !m.interruption_deadline &&
+           ctx_.now.steady >= m.claim_backoff_until &&
+           ctx_.now.steady - m.last_heartbeat_at <= silence_s() && !m.release_mark_pending &&
+           !site(m).mark && type(m.type) != nullptr;
 }
 
 bool Fleet::in_use(const Machine& m) const {
-    return m.up() && !m.gone && !m.notice_until && !cut_off(m.zone) && !site(m).mark;
+    return m.up() && !m.release_confirmed && !m.interruption_deadline && !cut_off(m.zone) &&
+           !site(m).mark;
 }
 
 double Fleet::longest_boot_s() const {
@@ -232,7 +235,8 @@
     }
     last_direct_ = relayed ? last_direct_ : ctx_.now.steady;
     Machine& m = enter(r.machine).first;
-    if (m.reported && std::tie(r.session, r.seq) <= std::tie(m.session, m.seq)) {
+    if (m.heartbeat_received &&
+        std::tie(r.session, r.seq) <= std::tie(m.agent_epoch, m.heartbeat_seq)) {
         // A delayed report: its list of tasks is as old as itself.
         WorkerReply reply;
         reply.request = request;
@@ -241,36 +245,36 @@
         ctx_.out.emplace_back(reply);
         return;
     }
-    if (m.request) {
+    if (m.open_request) {
         // The worker gave up on the earlier report; nobody reads its answer.
-        refuse(*m.request, 503);
-        m.request.reset();
+        refuse(*m.open_request, 503);
+        m.open_request.reset();
     }
     if (const auto& mark = site(m).mark; mark && mark->gone) {
         refuse(request, 503);
         return;
     }
     take_in(m, r);
-    m.last_report = ctx_.now.steady;
-    m.relayed = relayed;
+    m.last_heartbeat_at = ctx_.now.steady;
+    m.last_heartbeat_relayed = relayed;
     m.probe_failures = 0;
-    m.request = request;
-    m.considered = false;
-    m.held = false;
-    if (!m.asking) {
-        m.asking = true;
+    m.open_request = request;
+    m.seen_by_scheduler = false;
+    m.reply_held_open = false;
+    if (!m.awaiting_reply) {
+        m.awaiting_reply = true;
         asking_.push_back(&m);
     }
     if (r.token == ctx_.fencing_token && !m.adopted) {
         m.adopted = true;
-        ctx_.info("machine {}: adopted in session {} with {} tasks", m.name, m.session,
+        ctx_.info("machine {}: adopted in session {} with {} tasks", m.name, m.agent_epoch,
                   m.tasks.size());
     }
     if (!m.adopted) {
         answer(m);  // raises its token
         return;
     }
-    m.answer_by = ctx_.now.steady + constants::report_hold_s;
+    m.reply_deadline = ctx_.now.steady + constants::report_hold_s;
     observe(m, true);
     if (relayed) {
         // Its peer has few connections for relays and waits less long than an answer is kept open
@@ -293,38 +297,38 @@
 }
 
 void Fleet::take_in(Machine& m, const Report& r) {
-    bool first = !m.reported;
+    bool first = !m.heartbeat_received;
     m.room_known = false;
     m.address = r.address;
     m.type = r.type;
     m.zone = r.zone;
     m.spot = r.spot;
     if (first) {
-        m.born = m.born == 0 ? ctx_.now.steady : m.born;
+        m.launched_at = m.launched_at == 0 ? ctx_.now.steady : m.launched_at;
         ctx_.info("machine {}: first report, type {} zone {}{}", m.name, m.type, m.zone,
                   m.spot ? " spot" : "");
     }
-    if (!m.mine) {
-        m.mine = true;
+    if (!m.owned_by_us) {
+        m.owned_by_us = true;
         m.adopted = false;
         m.owned_since = ctx_.now.steady;
     }
-    m.reported = true;
-    m.session = r.session;
-    m.seq = r.seq;
-    m.token = r.token;
-    if (r.notice_s && !m.notice_until) {
-        m.notice_until = ctx_.now.steady + *r.notice_s;
+    m.heartbeat_received = true;
+    m.agent_epoch = r.session;
+    m.heartbeat_seq = r.seq;
+    m.fencing_token = r.token;
+    if (r.notice_s && !m.interruption_deadline) {
+        m.interruption_deadline = ctx_.now.steady + *r.notice_s;
         ctx_.info("machine {}: taken away in {:.1f} s", m.name, *r.notice_s);
     }
     m.tasks.clear();
     for (const auto& t : r.tasks) {
         m.tasks[{t.id, t.attempt}] = t;
     }
-    for (auto it = m.stops.begin(); it != m.stops.end();) {
+    for (auto it = m.pending_stops.begin(); it != m.pending_stops.end();) {
         auto t = m.tasks.find(it->first);
         bool over = t == m.tasks.end() || t->second.state == TaskState::exited;
-        it = over ? m.stops.erase(it) : std::next(it);
+        it = over ? m.pending_stops.erase(it) : std::next(it);
     }
 }
 
@@ -338,8 +342,8 @@
 }
 
 bool Fleet::wants_start(const Machine& m, const Job& job) const {
-    return !job.cancelled && !job.final && !site(m).mark && !m.marking && !m.notice_until &&
-           !gang_broken(job) && !job.stopping();
+    return !job.cancelled && !job.final && !site(m).mark && !m.release_mark_pending &&
+           !m.interruption_deadline && !gang_broken(job) && !job.stopping();
 }
 
 void Fleet::exited(Machine& m, const TaskStatus& s) {
@@ -374,7 +378,7 @@
     } else if (o.error) {
         failed(m, *job);
     } else if (s.why == ExitReason::no_room || s.why == ExitReason::busy) {
-        m.no_claims_until = ctx_.now.steady + constants::job_backoff_s;
+        m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
     }
 }
 
@@ -388,7 +392,7 @@
     if (m.failed_jobs.size() >= constants::machine_errors_max) {
         mark(m, "failing tasks", false);
     }
-    m.no_claims_until = ctx_.now.steady + constants::job_backoff_s;
+    m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
 }
 
 // Failures are counted in the job's blocks, with the ends that are written anyway: every member
@@ -426,15 +430,15 @@
             if (t->second.state == TaskState::exited) {
                 exited(m, t->second);
             } else {
-                m.seen.insert(attempt);
+                m.seen_running.insert(attempt);
                 stop_unwanted(m, *job, id, *p);
             }
             continue;
         }
         // Absent. Only a report that answers after our last response proves it: a direct
         // command's answer may overtake a start that is still in flight.
-        bool proof = from_report || m.run_sent.count(attempt) == 0;
-        bool lost_gang = job->spec.kind == JobKind::gang && m.seen.count(attempt) != 0;
+        bool proof = from_report || m.starts_sent.count(attempt) == 0;
+        bool lost_gang = job->spec.kind == JobKind::gang && m.seen_running.count(attempt) != 0;
         if (proof && (lost_gang || !wants_start(m, *job))) {
             Outcomes::Outcome o;
             o.attempt = p->attempt;
@@ -456,14 +460,14 @@
 // --- answers ------------------------------------------------------------------------------
 
 void Fleet::answer(Machine& m) {
-    if (!m.request) {
+    if (!m.open_request) {
         return;
     }
     WorkerReply reply;
-    reply.request = *m.request;
-    m.request.reset();
-    if (!members_.may_answer_workers() || !m.mine) {
-        reply.status = m.mine ? 503 : 421;
+    reply.request = *m.open_request;
+    m.open_request.reset();
+    if (!members_.may_answer_workers() || !m.owned_by_us) {
+        reply.status = m.owned_by_us ? 503 : 421;
         ctx_.out.emplace_back(reply);
         return;
     }
@@ -478,16 +482,16 @@
                 if (!ours) {
                     reply.commands.push_back(
                         {Command::Kind::forget, attempt.first, attempt.second, 0});
-                    m.run_sent.erase(attempt);
-                    m.seen.erase(attempt);
+                    m.starts_sent.erase(attempt);
+                    m.seen_running.erase(attempt);
                 }
                 continue;
             }
             live.insert(attempt.first);
-            auto s = m.stops.find(attempt);
+            auto s = m.pending_stops.find(attempt);
             if (!ours) {
                 reply.commands.push_back({Command::Kind::stop, attempt.first, attempt.second, 0});
-            } else if (s != m.stops.end()) {
+            } else if (s != m.pending_stops.end()) {
                 reply.commands.push_back(
                     {Command::Kind::stop, attempt.first, attempt.second, s->second.grace_s});
             }
@@ -503,7 +507,7 @@
             if (m.tasks.count(attempt) != 0 || live.count(id) != 0 || ending) {
                 continue;
             }
-            if (m.run_sent.insert(attempt).second) {
+            if (m.starts_sent.insert(attempt).second) {
                 ctx_.info("start {} attempt {} on {}", id.text(), p->attempt, m.name);
             }
             reply.commands.push_back({Command::Kind::start, id, p->attempt, 0});
@@ -518,11 +522,11 @@
     std::size_t kept = 0;
     for (std::size_t i = 0; i < asking_.size(); ++i) {
         Machine* m = asking_[i];
-        if (m->request && !(m->held && ctx_.now.steady < m->answer_by)) {
+        if (m->open_request && !(m->reply_held_open && ctx_.now.steady < m->reply_deadline)) {
             settle(*m);
         }
-        m->asking = m->request.has_value();
-        if (m->asking) {
+        m->awaiting_reply = m->open_request.has_value();
+        if (m->awaiting_reply) {
             asking_[kept++] = m;
         }
     }
@@ -530,11 +534,11 @@
 }
 
 void Fleet::settle(Machine& m) {
-    if (!m.request) {
+    if (!m.open_request) {
         return;
     }
-    bool late = ctx_.now.steady >= m.answer_by;
-    if (!late && m.claims > 0) {
+    bool late = ctx_.now.steady >= m.reply_deadline;
+    if (!late && m.claims_in_flight > 0) {
         return;
     }
     // Something to say: say it now.
@@ -550,15 +554,15 @@
         return;  // the next answer of the state service is a moment away
     }
     bool offer = !start_due && usable(m);
-    if (offer && !late && !m.considered) {
+    if (offer && !late && !m.seen_by_scheduler) {
         return;  // the next round is a moment away
     }
     news = news || m.tasks.size() > site(m).tasks.size();
     if (offer && !news && !late && room(m).cpus > Resources::slack) {
         // Nothing ends there by itself, so the worker has nothing to report: its answer is kept
         // open for a while, and a job that comes meanwhile starts without waiting for a report.
-        m.answer_by = std::max(m.answer_by, m.last_report + constants::idle_hold_s);
-        m.held = true;
+        m.reply_deadline = std::max(m.reply_deadline, m.last_heartbeat_at + constants::idle_hold_s);
+        m.reply_held_open = true;
         return;
     }
     answer(m);
@@ -566,13 +570,13 @@
 
 // --- stops --------------------------------------------------------------------------------
 
-void Fleet::send_stop(Machine& m, const Attempt& task, Machine::Stop& s) {
-    s.last_sent = ctx_.now.steady;
+void Fleet::send_stop(Machine& m, const Attempt& task, Machine::PendingStop& s) {
+    s.last_sent_at = ctx_.now.steady;
     OrderCall call;
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
-    call.session = m.session;
+    call.session = m.agent_epoch;
     call.commands.push_back({Command::Kind::stop, task.first, task.second, s.grace_s});
     ctx_.order(call, [](const OrderReply&) {
         // The worker reports the change by itself within half a second.
@@ -580,17 +584,17 @@
 }
 
 void Fleet::stop(Machine& m, const Attempt& task, double grace_s) {
-    auto [it, first] = m.stops.try_emplace(task);
+    auto [it, first] = m.pending_stops.try_emplace(task);
     if (!first && it->second.grace_s <= grace_s) {
         return;
     }
     if (first) {
         ctx_.info("stop {} attempt {} on {}, grace {:.1f} s", task.first.text(), task.second,
                   m.name, grace_s);
-        it->second.first = ctx_.now.steady;
+        it->second.first_requested_at = ctx_.now.steady;
     }
     it->second.grace_s = grace_s;
-    if (m.adopted && m.reported) {
+    if (m.adopted && m.heartbeat_received) {
         send_stop(m, task, it->second);
         answer(m);  // a worker with a report in flight could not tell that the task ended
     }
@@ -607,19 +611,19 @@
     for (auto& [name, m] : machines_) {
         bool mine = members_.owned_by_us(name, m.zone);
         m.room_known = false;
-        if (mine && m.mine && next) {
+        if (mine && m.owned_by_us && next) {
             continue;
         }
-        if (m.request && !mine) {
-            m.mine = false;
+        if (m.open_request && !mine) {
+            m.owned_by_us = false;
             answer(m);
         }
-        m.mine = mine;
+        m.owned_by_us = mine;
         m.adopted = false;
         outcomes_.forget(name);
-        m.run_sent.clear();
-        m.seen.clear();
-        m.stops.clear();
+        m.starts_sent.clear();
+        m.seen_running.clear();
+        m.pending_stops.clear();
         if (mine) {
             m.owned_since = ctx_.now.steady;
             m.probe_failures = 0;
@@ -638,7 +642,7 @@
     for (int i = 0; i < constants::raise_per_tick && !to_raise_.empty(); ++i) {
         Machine* m = find(to_raise_.front());
         to_raise_.pop_front();
-        if (m != nullptr && m->mine && !m->adopted) {
+        if (m != nullptr && m->owned_by_us && !m->adopted) {
             raise_token(*m, 2);
         }
     }
@@ -652,23 +656,24 @@
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
-    call.session = std::max<std::uint64_t>(m.session, 1);
+    call.session = std::max<std::uint64_t>(m.agent_epoch, 1);
     Token token = ctx_.fencing_token;
     ctx_.order(call, [this, name = m.name, token, tries](const OrderReply& reply) {
         Machine* m = find(name);
-        if (m == nullptr || !reply.report || !m->mine || token != ctx_.fencing_token ||
+        if (m == nullptr || !reply.report || !m->owned_by_us || token != ctx_.fencing_token ||
             m->adopted) {
             return;
         }
         const Report& r = *reply.report;
-        if (m->reported && std::tie(r.session, r.seq) <= std::tie(m->session, m->seq)) {
+        if (m->heartbeat_received &&
+            std::tie(r.session, r.seq) <= std::tie(m->agent_epoch, m->heartbeat_seq)) {
             return;
         }
         take_in(*m, r);
         if (r.token == ctx_.fencing_token) {
             m->adopted = true;
-            m->last_report = ctx_.now.steady;
-            ctx_.info("machine {}: adopted in session {} with {} tasks", name, m->session,
+            m->last_heartbeat_at = ctx_.now.steady;
+            ctx_.info("machine {}: adopted in session {} with {} tasks", name, m->agent_epoch,
                       m->tasks.size());
             observe(*m, false);
         } else {
@@ -692,13 +697,13 @@
             m.listed_state = l.state;
         }
         if (fresh) {
-            m.born = ctx_.now.steady - l.age_s;
+            m.launched_at = ctx_.now.steady - l.age_s;
         }
         if (l.state == ListedState::running && m.running_since < 0) {
             m.running_since = ctx_.now.steady;
         }
-        if (!m.mine && members_.owned_by_us(m.name, m.zone)) {
-            m.mine = true;
+        if (!m.owned_by_us && members_.owned_by_us(m.name, m.zone)) {
+            m.owned_by_us = true;
             m.adopted = false;
             m.owned_since = ctx_.now.steady;
             if (l.state == ListedState::running) {
@@ -712,11 +717,11 @@
 
 void Fleet::mark(Machine& m, const std::string& why, bool fence) {
     const Mark* old = ctx_.jobs.mark(m.name);
-    if (m.marking || !ctx_.member || !members_.in_contact() ||
+    if (m.release_mark_pending || !ctx_.member || !members_.in_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
     }
-    m.marking = true;
+    m.release_mark_pending = true;
     to_mark_[{why, fence}].insert(m.name);
     ctx_.info("machine {}: to be returned ({})", m.name, why);
 }
@@ -735,7 +740,7 @@
             ctx_.when_settled(r, [this, names] {
                 for (const auto& name : names) {
                     if (Machine* m = find(name)) {
-                        m->marking = false;
+                        m->release_mark_pending = false;
                     }
                 }
             });
@@ -770,10 +775,10 @@
 }
 
 void Fleet::probe(Machine& m) {
-    if (m.probing || m.address.empty()) {
+    if (m.probe_in_flight || m.address.empty()) {
         return;
     }
-    m.probing = true;
+    m.probe_in_flight = true;
     OrderCall call;
     call.machine = m.name;
     call.address = m.address;
@@ -782,15 +787,15 @@
         if (m == nullptr) {
             return;
         }
-        m->probing = false;
+        m->probe_in_flight = false;
         if (reply.answered) {
             // Alive, but it reports elsewhere or its reports don't get through: the raised
             // token makes it turn away from whoever answers it wrongly.
             m->probe_failures = 0;
             if (reply.report) {
-                m->session = std::max(m->session, reply.report->session);
+                m->agent_epoch = std::max(m->agent_epoch, reply.report->session);
             }
-            if (m->mine) {
+            if (m->owned_by_us) {
                 raise_token(*m, 1);
             }
         } else {
@@ -855,14 +860,14 @@
 // Once one of its tasks has ended the gang has saved, or never will.
 void Fleet::stop_unwanted(Machine& m, const Job& job, const TaskId& id, const Placement& p) {
     bool at_once = job.cancelled || gang_broken(job);
-    if (!m.mine || !m.adopted || !(at_once || job.stopping())) {
+    if (!m.owned_by_us || !m.adopted || !(at_once || job.stopping())) {
         return;
     }
     Attempt attempt{id, p.attempt};
     auto t = m.tasks.find(attempt);
     bool exited = t != m.tasks.end() && t->second.state == TaskState::exited;
     // A start that has gone out but isn't reported yet must be stopped as well.
-    bool there = t != m.tasks.end() || m.run_sent.count(attempt) != 0;
+    bool there = t != m.tasks.end() || m.starts_sent.count(attempt) != 0;
     if (there && !exited) {
         stop(m, attempt, at_once ? 0 : job.spec.save_s);
     }
@@ -886,8 +891,8 @@
         auto [m, fresh] = enter(p.machine);
         if (fresh) {
             m.zone = p.zone;
-            m.born = ctx_.now.steady;
-            m.mine = members_.owned_by_us(m.name, m.zone);
+            m.launched_at = ctx_.now.steady;
+            m.owned_by_us = members_.owned_by_us(m.name, m.zone);
             m.owned_since = ctx_.now.steady;
         }
         touch_image(m, job->spec.image, job->spec.image_gb);
@@ -968,10 +973,10 @@
         }
         ++it;
         note_empty(m);
-        if (ctx_.member && m.mine) {
+        if (ctx_.member && m.owned_by_us) {
             repeat_stops(m);
         }
-        if (ctx_.member && m.mine && !site(m).mark) {
+        if (ctx_.member && m.owned_by_us && !site(m).mark) {
             save_in_time(m);
             look_after(m, silence);
         }
@@ -995,14 +1000,14 @@
     for (const Machine* m : overdue()) {
         // Who answers a probe is alive, and only reports to another by now.
         if (m->probe_failures > 0 &&
-            ctx_.now.steady - std::max(m->last_report, m->owned_since) > silence_s()) {
+            ctx_.now.steady - std::max(m->last_heartbeat_at, m->owned_since) > silence_s()) {
             names.insert(m->name);
         }
     }
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
             const Machine* m = find(name);
-            bool ours = m != nullptr ? m->mine : members_.is_leader();
+            bool ours = m != nullptr ? m->owned_by_us : members_.is_leader();
             if (marks.fence && marks.gone.count(name) == 0 && ours) {
                 names.insert(name);
             }
@@ -1028,7 +1033,7 @@
             // Just taken over: what ended there before is known with its first report.
             bool new_here = m != nullptr && !m->adopted && since < last &&
                             ctx_.now.steady - m->owned_since < silence_s();
-            if (m != nullptr && m->mine && !ended && !new_here) {
+            if (m != nullptr && m->owned_by_us && !ended && !new_here) {
                 machines.insert(m);
             }
             return true;
@@ -1066,19 +1071,21 @@
     int relayed = 0;
     std::map<std::string, Silence::Count> zones;
     for (const auto& [name, m] : machines_) {
-        bool known = m.reported || m.running_since >= 0;
-        if (!m.mine || !known || site(m).mark) {
+        bool known = m.heartbeat_received || m.running_since >= 0;
+        if (!m.owned_by_us || !known || site(m).mark) {
             continue;
         }
-        bool quiet = ctx_.now.steady - std::max(m.last_report, m.owned_since) > silence_s();
+        bool quiet = ctx_.now.steady - std::max(m.last_heartbeat_at, m.owned_since) > silence_s();
         Silence::Count& zone = zones[m.zone];
         zone.mine++;
         zone.silent += quiet ? 1 : 0;
-        if (m.reported && m.adopted) {
+        if (m.heartbeat_received && m.adopted) {
             silence.all.mine++;
             silence.all.silent += quiet ? 1 : 0;
-            relayed +=
-                m.relayed && ctx_.now.steady - m.last_report < constants::relay_detour_s ? 1 : 0;
+            relayed += m.last_heartbeat_relayed &&
+                               ctx_.now.steady - m.last_heartbeat_at < constants::relay_detour_s
+                           ? 1
+                           : 0;
         }
     }
     silence.path_cut = cut_from_workers(silence.all.mine, relayed);
@@ -1096,26 +1103,27 @@
     const auto& mark = site(m).mark;
     bool placed = !site(m).tasks.empty();
     if (mark && mark->gone) {
-        m.gone = true;
-    } else if (m.gone && !mark && !m.asking) {
+        m.release_confirmed = true;
+    } else if (m.release_confirmed && !mark && !m.awaiting_reply) {
         if (!placed) {
             return true;  // its mark was retired
         }
         // A claim came as late as that: its end must be proved once more.
-        m.gone = false;
-        m.reported = m.adopted = false;
+        m.release_confirmed = false;
+        m.heartbeat_received = m.adopted = false;
         m.address.clear();
     }
-    double heard = std::max(m.last_report, m.owned_since);
-    return !placed && !mark && !m.asking && ctx_.now.steady - heard > constants::gone_mark_s &&
+    double heard = std::max(m.last_heartbeat_at, m.owned_since);
+    return !placed && !mark && !m.awaiting_reply &&
+           ctx_.now.steady - heard > constants::gone_mark_s &&
            ctx_.now.steady - m.listed_at > constants::gone_mark_s;
 }
 
 void Fleet::repeat_stops(Machine& m) {
     double t = ctx_.now.steady;
-    for (auto& [task, s] : m.stops) {
-        if (m.adopted && t - s.last_sent >= constants::stop_repeat_s) {
-            if (s.grace_s > 0 && t - s.first > s.grace_s + ctx_.settings.gang_peer_s) {
+    for (auto& [task, s] : m.pending_stops) {
+        if (m.adopted && t - s.last_sent_at >= constants::stop_repeat_s) {
+            if (s.grace_s > 0 && t - s.first_requested_at > s.grace_s + ctx_.settings.gang_peer_s) {
                 s.grace_s = 0;  // it should have saved by now
             }
             send_stop(m, task, s);
@@ -1126,10 +1134,10 @@
 // Before a machine is taken away, what can save on it does: its progress since the last checkpoint
 // would be lost, and it starts elsewhere the sooner. As late as it may be, since what runs may end.
 void Fleet::save_in_time(Machine& m) {
-    if (!m.notice_until || !m.adopted) {
+    if (!m.interruption_deadline || !m.adopted) {
         return;
     }
-    double left = *m.notice_until - ctx_.now.steady;
+    double left = *m.interruption_deadline - ctx_.now.steady;
     for (const auto& [id, on] : site(m).tasks) {
         const JobSpec& s = on.job->spec;
         Attempt attempt{id, on.place->attempt};
@@ -1173,14 +1181,14 @@
 
 void Fleet::look_after(Machine& m, const Silence& silence) {
     double t = ctx_.now.steady;
-    double quiet = t - std::max(m.last_report, m.owned_since);
+    double quiet = t - std::max(m.last_heartbeat_at, m.owned_since);
     bool placed = !site(m).tasks.empty();
     if (m.listed_state == ListedState::failed) {
         mark(m, "failed", true);
     } else if (placed && m.address.empty() && quiet > constants::unreported_s) {
         // Placed by a claim on a machine that nobody lists any more: it can't be probed.
         mark(m, "unknown", true);
-    } else if (m.reported || placed) {
+    } else if (m.heartbeat_received || placed) {
         double limit = patience_s(m, silence);
         if (quiet > limit && m.probe_failures > 0) {
             mark(m, "silent", true);
@@ -1191,7 +1199,7 @@
                t - std::max(m.running_since, m.owned_since) > constants::unreported_s) {
         mark(m, "never reported", true);
     }
-    if (m.notice_until && !placed && m.reported) {
+    if (m.interruption_deadline && !placed && m.heartbeat_received) {
         mark(m, "taken away soon", false);
     }
 }
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -20,6 +20,10 @@
 
 using Attempt = std::pair<TaskId, std::uint64_t>;
 
+/// What this controller knows of one worker machine (agent): its identity, its latest heartbeat,
+/// whether this controller owns and has adopted it, the stops sent to it, the heartbeat request
+/// that waits for its reply, cached figures derived from the job records, and what the cloud
+/// provider's listing says of it. Times are steady-clock seconds unless named otherwise.
 struct Machine {
     std::string name;
     std::string address;
@@ -27,65 +31,70 @@
     std::string zone;
     bool spot = false;
 
-    // as reported
-    bool reported = false;
-    std::uint64_t session = 0;
-    std::uint64_t seq = 0;
-    Token token = 0;
-    double last_report = -1e9;
-    bool relayed = false;  // that one came by way of another controller
-    std::optional<double> notice_until;
+    // From its heartbeats.
+    bool heartbeat_received = false;  // at least one heartbeat has been taken in
+    std::uint64_t agent_epoch = 0;    // incarnation of the worker agent; grows on each restart
+    std::uint64_t heartbeat_seq = 0;  // sequence number of the heartbeat within the agent epoch
+    Token fencing_token = 0;          // fencing token the worker last accepted
+    double last_heartbeat_at = -1e9;
+    bool last_heartbeat_relayed = false;  // the last heartbeat came by way of another controller
+    // The spot instance is to be interrupted at this time (interruption notice of the provider).
+    std::optional<double> interruption_deadline;
     std::map<Attempt, TaskStatus> tasks;
 
-    // as owned
-    bool mine = false;
+    // Ownership by this controller.
+    bool owned_by_us = false;
+    // Adopted: this controller has taken the agent over, i.e. the worker has accepted our fencing
+    // token. Until then no command but the token raise is sent to it.
     bool adopted = false;
     double owned_since = 0;
-    std::set<Attempt> run_sent;  // in a response of ours since adoption
-    std::set<Attempt> seen;      // reported alive since adoption
-    struct Stop {
+    std::set<Attempt> starts_sent;   // started by a reply of ours since adoption
+    std::set<Attempt> seen_running;  // reported alive since adoption
+    /// A stop (kill with a grace period) sent to a task and repeated until the task has exited.
+    struct PendingStop {
         double grace_s = 0;
-        double first = 0;
-        double last_sent = -1e9;
+        double first_requested_at = 0;
+        double last_sent_at = -1e9;
     };
-    std::map<Attempt, Stop> stops;
+    std::map<Attempt, PendingStop> pending_stops;
     std::set<std::string> failed_jobs;  // that failed there since the last task was done
-    double no_claims_until = -1e9;
-    bool held = false;  // its answer is kept open until answer_by, unless something changes
-    bool probing = false;
+    double claim_backoff_until = -1e9;  // no new claims on it before this time
+    // Its reply is held open (long poll) until reply_deadline, unless something changes.
+    bool reply_held_open = false;
+    bool probe_in_flight = false;
     int probe_failures = 0;
-    bool marking = false;
-    bool gone = false;  // the cloud confirmed its release
+    bool release_mark_pending = false;  // a mark for its release is being written
+    bool release_confirmed = false;     // the cloud confirmed its release
 
-    // the report that waits for its answer
-    std::optional<std::uint64_t> request;
-    bool asking = false;  // in the list of those that wait, or of those just answered
-    double answer_by = 0;
-    int claims = 0;           // claims under way for it
-    bool considered = false;  // a round of the scheduler has seen it since that report
+    // The heartbeat request that waits for its reply.
+    std::optional<std::uint64_t> open_request;
+    bool awaiting_reply = false;  // in the list of those that wait, or of those just answered
+    double reply_deadline = 0;
+    int claims_in_flight = 0;        // claims under way for it
+    bool seen_by_scheduler = false;  // a scheduler round has seen it since that heartbeat
 
     // room left, counted anew after a change; see Fleet::room
     mutable Resources room;
     mutable bool room_known = false;
-    mutable std::vector<int> fetching;  // images that its tasks wait for, as of then
+    mutable std::vector<int> images_pulling;  // images that its tasks wait for, as of then
 
     // what the records say of it, of the copy of that number; see Fleet::site
     mutable std::shared_ptr<const Jobs::Site> site;
     mutable std::uint64_t site_of = 0;
 
-    // as listed by the cloud
+    // As listed by the cloud provider.
     bool listed = false;
     ListedState listed_state = ListedState::starting;
     double listed_at = -1e9;
-    double born = 0;            // steady time of its rental, as far as known
+    double launched_at = 0;     // steady time of its rental, as far as known
     double running_since = -1;  // first listed as running
     double empty_since = -1;    // no placements since, -1: has some
 
-    // Up as far as known here: only its owner gets its reports, the others have the list.
-    bool up() const { return reported || running_since >= 0; }
+    /// Up as far as known here: only its owner gets its heartbeats, the others have the listing.
+    bool up() const { return heartbeat_received || running_since >= 0; }
 
-    // images it is thought to have cached, by number and size, most recently used first
-    std::vector<std::pair<int, double>> images;
+    // images it is thought to have cached, by number and size in GB, most recently used first
+    std::vector<std::pair<int, double>> cached_images;
 };
 
 class Fleet {
@@ -184,7 +193,7 @@
     void redirect(std::uint64_t request, const Report& r, const Member* owner, bool relayed);
     void touch_image(Machine& m, const std::string& image, double gb);
     void refuse(std::uint64_t request, int status, const std::string& home = "");
-    void send_stop(Machine& m, const Attempt& task, Machine::Stop& s);
+    void send_stop(Machine& m, const Attempt& task, Machine::PendingStop& s);
     void note_arrival(const std::string& uid, const Job& job);
     void note_failures(const std::string& uid, const Job& job);
     void failed(Machine& m, const Job& job);
--- a/src/core/outcomes.cpp
+++ b/src/core/outcomes.cpp
@@ -84,13 +84,14 @@
     // that goes, what is not told in time would be taken for lost.
     for (const auto& [index, o] : pending.tasks) {
         const Machine* m = fleet_.find(o.machine);
-        if (m != nullptr && (fleet_.vacated(*m) || m->notice_until || ctx_.jobs.mark(m->name))) {
+        if (m != nullptr &&
+            (fleet_.vacated(*m) || m->interruption_deadline || ctx_.jobs.mark(m->name))) {
             return true;
         }
     }
     return std::none_of(block.placed.begin(), block.placed.end(), [&](const auto& t) {
         const Machine* m = fleet_.find(t.second.machine);
-        return m != nullptr && m->mine && pending.tasks.count(t.first) == 0;
+        return m != nullptr && m->owned_by_us && pending.tasks.count(t.first) == 0;
     });
 }
 
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -137,8 +137,9 @@
 // Whether a task of the block may run on the machine once there is room. Room made for one job
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
-    return m.up() && !m.notice_until && !m.marking && !m.gone && scheduler_.allowed(job, m) &&
-           !fleet_.site(m).mark && !scheduler_.held_for_other(m.name, job.spec.uid) &&
+    return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
+           scheduler_.allowed(job, m) && !fleet_.site(m).mark &&
+           !scheduler_.held_for_other(m.name, job.spec.uid) &&
            Scheduler::spread_room(job, block, m.zone) > 0;
 }
 
@@ -163,7 +164,7 @@
         bool fits = s.each.fits_in(fleet_.room(m));
         bool local = Fleet::has_image(m, image);
         // Most machines are left out by what costs least to see.
-        bool better = m.mine && (!best || local || !best->local);
+        bool better = m.owned_by_us && (!best || local || !best->local);
         if (!(fits || better) || !may_serve(job, block, m)) {
             continue;
         }
--- a/src/core/provisioner.cpp
+++ b/src/core/provisioner.cpp
@@ -366,14 +366,14 @@
             continue;
         }
         bool starting = m.listed_state == ListedState::starting;
-        if (starting && t - m.born > type->boot_s * constants::boot_dead_factor) {
+        if (starting && t - m.launched_at > type->boot_s * constants::boot_dead_factor) {
             fleet_.mark(m, "never came up", true);
         }
     }
     std::vector<Machine*> empty;
     for (Machine* each : fleet_.all()) {
         Machine& m = *each;
-        if (m.up() && !m.marking && !fleet_.site(m).mark && m.empty_since >= 0 &&
+        if (m.up() && !m.release_mark_pending && !fleet_.site(m).mark && m.empty_since >= 0 &&
             fleet_.site(m).tasks.empty()) {
             empty.push_back(&m);
         }
@@ -383,7 +383,7 @@
         int up = 0;
         double free = 0;
         for (const auto& [name, m] : fleet_.machines()) {
-            bool counts = m.up() && !m.gone && !fleet_.site(m).mark;
+            bool counts = m.up() && !m.release_confirmed && !fleet_.site(m).mark;
             up += counts ? 1 : 0;
             free += counts && !fleet_.site(m).tasks.empty() ? fleet_.room(m).gpus : 0;
         }
@@ -403,7 +403,7 @@
             --keep;
             continue;
         }
-        double since = std::max(m->empty_since, m->born);
+        double since = std::max(m->empty_since, m->launched_at);
         if (t - since > ctx_.tunables.idle_return_s) {
             fleet_.mark(*m, "idle", false);
         }
@@ -416,11 +416,11 @@
     std::vector<Bin> list;
     for (const auto& [name, m] : fleet_.machines()) {
         const MachineType* type = fleet_.type(m.type);
-        if (type == nullptr || m.notice_until || fleet_.site(m).mark || fleet_.cut_off(m.zone) ||
-            m.listed_state == ListedState::failed) {
+        if (type == nullptr || m.interruption_deadline || fleet_.site(m).mark ||
+            fleet_.cut_off(m.zone) || m.listed_state == ListedState::failed) {
             continue;
         }
-        double age = ctx_.now.steady - m.born;
+        double age = ctx_.now.steady - m.launched_at;
         if (!m.up() && age > type->boot_s * constants::boot_late_factor) {
             continue;  // it may still come, but nobody should wait for it
         }
--- a/src/core/requests.cpp
+++ b/src/core/requests.cpp
@@ -44,7 +44,7 @@
     job.each_placement([&](int task, const Placement& p) {
         const Machine* m = fleet_.find(p.machine);
         // What other members' machines do is not known here; a place counts as running.
-        bool known = m != nullptr && m->mine && m->adopted;
+        bool known = m != nullptr && m->owned_by_us && m->adopted;
         auto t =
             known ? m->tasks.find({{job.spec.uid, task}, p.attempt}) : decltype(m->tasks.end()){};
         if (!known || (t != m->tasks.end() && t->second.state == TaskState::running)) {
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -103,7 +103,7 @@
     const MachineType* t = fleet_.type(m.type);
     double free = t != nullptr && t->size.cpus > 0 ? offer.room.cpus / t->size.cpus : 0;
     // A start on a machine whose report was answered waits for its next one.
-    double wait = m.request ? 0 : constants::rank_step;
+    double wait = m.open_request ? 0 : constants::rank_step;
     return (m.spot ? 0 : 1.5) + free + wait;
 }
 
@@ -143,10 +143,10 @@
     }
     for (const Machine* other : fleet_.all()) {
         const MachineType* t = other->spot ? fleet_.type(other->type) : nullptr;
-        if (t == nullptr || other->notice_until) {
+        if (t == nullptr || other->interruption_deadline) {
             continue;
         }
-        bool young = ctx_.now.steady - other->born < t->boot_s * constants::boot_late_factor;
+        bool young = ctx_.now.steady - other->launched_at < t->boot_s * constants::boot_late_factor;
         if ((other->up() || young) && job.spec.each.fits_in(fleet_.room(*other)) &&
             !fleet_.site(*other).mark && allowed(job, *other)) {
             it->second = true;
@@ -159,10 +159,11 @@
 void Scheduler::gather(Round& round, bool mine) const {
     for (Machine* each : fleet_.all()) {
         Machine& m = *each;
-        if (m.mine != mine) {
+        if (m.owned_by_us != mine) {
             continue;
         }
-        m.considered = true;  // where there is no room or use for it, that is an answer as well
+        m.seen_by_scheduler =
+            true;  // where there is no room or use for it, that is an answer as well
         if (fleet_.room(m).cpus < Resources::slack ||
             !(mine ? fleet_.usable(m) : fleet_.in_use(m))) {
             continue;
@@ -333,7 +334,7 @@
         }
     }
     fleet_.room(*offer.machine);  // counts what is being fetched as well
-    const auto& fetching = offer.machine->fetching;
+    const auto& fetching = offer.machine->images_pulling;
     return std::any_of(fetching.begin(), fetching.end(), [&](int i) { return i != image; });
 }
 
@@ -557,7 +558,7 @@
         }
         bool local = s.image_gb <= 0 || Fleet::has_image(*offer.machine, image);
         // Our own first, and those whose report waits for its answer.
-        double rank = (offer.mine ? 0 : 2) + (offer.machine->request ? 0 : 1);
+        double rank = (offer.mine ? 0 : 2) + (offer.machine->open_request ? 0 : 1);
         zones[s.together ? offer.machine->zone : ""].push_back({&offer, local, rank});
     }
     GangPlaces best;
@@ -700,7 +701,7 @@
     }
     for (const auto& name : machines) {
         if (Machine* m = fleet_.find(name)) {
-            m->claims++;
+            m->claims_in_flight++;
         }
     }
     return machines;
@@ -761,7 +762,7 @@
         for (const auto& name : machines) {
             Machine* m = fleet_.find(name);
             if (m != nullptr) {
-                m->claims--;
+                m->claims_in_flight--;
                 fleet_.settle(*m);
             }
         }
@@ -828,8 +829,8 @@
         auto old = holds_.find(m.name);
         bool taken = old != holds_.end() && old->second.until >= ctx_.now.steady;
         const MachineType* t = fleet_.type(m.type);
-        if (!m.mine || taken || !fleet_.usable(m) || t == nullptr || !s.each.fits_in(t->size) ||
-            !allowed(job, m)) {
+        if (!m.owned_by_us || taken || !fleet_.usable(m) || t == nullptr ||
+            !s.each.fits_in(t->size) || !allowed(job, m)) {
             continue;
         }
         double work = 0;
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -418,7 +418,7 @@
     w.submit_and_wait(0, w.job(1, JobKind::service));
     ASSERT_TRUE(w.until([&] { return w.running("req-000001") == 1; }, 30));
     w.workers_cut.insert(0);
-    auto relayed = [&] { return w.node(0).fleet().find("vm-500000")->relayed; };
+    auto relayed = [&] { return w.node(0).fleet().find("vm-500000")->last_heartbeat_relayed; };
     ASSERT_TRUE(w.until(relayed, 20));
     w.workers_cut.clear();
     EXPECT_TRUE(w.until([&] { return !relayed(); }, 45));
@@ -1063,8 +1063,8 @@
         }
     };
     spot.notice_s = 20;
-    ASSERT_TRUE(
-        w.until([&] { return w.node(0).fleet().find("vm-500000")->notice_until.has_value(); }, 5));
+    ASSERT_TRUE(w.until(
+        [&] { return w.node(0).fleet().find("vm-500000")->interruption_deadline.has_value(); }, 5));
     w.run(12);
     EXPECT_TRUE(stopped.empty());  // not before it must be
     w.run(6);
