--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -93,7 +93,7 @@
 
 void Controller::report(Now now, std::uint64_t request, const Report& report, bool relayed) {
     ctx_.now = now;
-    fleet_.report(request, report, relayed);
+    fleet_.handle_heartbeat(request, report, relayed);
 }
 
 // A report that is relayed comes by itself, through report().
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -45,7 +45,7 @@
 }
 
 // The machine of that name, and whether it was unknown so far.
-std::pair<Machine&, bool> Fleet::enter(const std::string& name) {
+std::pair<Machine&, bool> Fleet::find_or_add(const std::string& name) {
     auto [it, fresh] = machines_.try_emplace(name);
     Machine& m = it->second;
     if (fresh) {
@@ -73,7 +73,7 @@
     return nullptr;
 }
 
-void Fleet::set_types(const std::vector<MachineType>& types) {
+void Fleet::set_machine_types(const std::vector<MachineType>& types) {
     types_ = types;
     for (auto& [name, m] : machines_) {
         m.room_known = false;
@@ -86,7 +86,7 @@
     return image_numbers_.try_emplace(image, static_cast<int>(image_numbers_.size())).first->second;
 }
 
-void Fleet::touch_image(Machine& m, const std::string& image, double gb) {
+void Fleet::note_image_used(Machine& m, const std::string& image, double gb) {
     int number = image_number(image);
     std::erase_if(m.cached_images, [&](const auto& i) { return i.first == number; });
     m.cached_images.insert(m.cached_images.begin(), {number, gb});
@@ -154,13 +154,13 @@
     // gone: neither must be given work.
     return m.owned_by_us && m.adopted && !m.release_confirmed && !m.interruption_deadline &&
            ctx_.now.steady >= m.claim_backoff_until &&
-           ctx_.now.steady - m.last_heartbeat_at <= silence_s() && !m.release_mark_pending &&
-           !site(m).mark && type(m.type) != nullptr;
+           ctx_.now.steady - m.last_heartbeat_at <= heartbeat_timeout_s() &&
+           !m.release_mark_pending && !site(m).mark && type(m.type) != nullptr;
 }
 
 bool Fleet::in_use(const Machine& m) const {
-    return m.up() && !m.release_confirmed && !m.interruption_deadline && !cut_off(m.zone) &&
-           !site(m).mark;
+    return m.up() && !m.release_confirmed && !m.interruption_deadline &&
+           !zone_partitioned(m.zone) && !site(m).mark;
 }
 
 double Fleet::longest_boot_s() const {
@@ -173,7 +173,7 @@
 
 // --- reports ------------------------------------------------------------------------------
 
-void Fleet::refuse(std::uint64_t request, int status, const std::string& home) {
+void Fleet::reject_heartbeat(std::uint64_t request, int status, const std::string& home) {
     WorkerReply reply;
     reply.request = request;
     reply.status = status;
@@ -181,24 +181,25 @@
     ctx_.out.emplace_back(reply);
 }
 
-void Fleet::redirect(std::uint64_t request, const Report& r, const Member* owner, bool relayed) {
+void Fleet::redirect_heartbeat(std::uint64_t request, const Report& r, const Member* owner,
+                               bool relayed) {
     if (owner == nullptr || relayed) {
-        refuse(request, 421);
+        reject_heartbeat(request, 421);
         return;
     }
-    Sent& sent = sent_home_[r.machine];
+    Redirect& redirect = redirects_[r.machine];
     double t = ctx_.now.steady;
     // Relayed once, it stays here and comes again with its next report.
     double window = constants::relay_window_s + ctx_.settings.report_s * constants::report_spread;
     // Guards against workers that came back because their owner changed meanwhile, or could not be
     // reached for a moment, and were relayed for good: now and then they are sent home once more.
-    bool again = sent.home == owner->id && t - sent.last < window &&
-                 t - sent.first < constants::relay_again_s;
-    sent.last = t;
+    bool again = redirect.owner_id == owner->id && t - redirect.last_at < window &&
+                 t - redirect.first_at < constants::relay_again_s;
+    redirect.last_at = t;
     if (!again) {
-        sent.home = owner->id;
-        sent.first = t;
-        refuse(request, 421, owner->name);
+        redirect.owner_id = owner->id;
+        redirect.first_at = t;
+        reject_heartbeat(request, 421, owner->name);
         return;
     }
     // The worker was sent to its owner a moment ago and is back: it can't reach it, and its
@@ -209,7 +210,7 @@
     call.relay = r;
     ctx_.peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
         if (!answered || !reply) {
-            refuse(request, 421);
+            reject_heartbeat(request, 421);
             return;
         }
         WorkerReply passed = *reply;
@@ -218,23 +219,23 @@
     });
 }
 
-void Fleet::report(std::uint64_t request, const Report& r, bool relayed) {
+void Fleet::handle_heartbeat(std::uint64_t request, const Report& r, bool relayed) {
     if (!members_.may_answer_workers()) {
-        refuse(request, 503);
+        reject_heartbeat(request, 503);
         return;
     }
     if (r.token > ctx_.fencing_token) {
         // A newer epoch exists that this process hasn't heard of: it may not command.
-        refuse(request, 421);
+        reject_heartbeat(request, 421);
         return;
     }
     const Member* owner = members_.owner(r.machine, r.zone);
     if (owner == nullptr || owner->id != ctx_.me.id) {
-        redirect(request, r, owner, relayed);
+        redirect_heartbeat(request, r, owner, relayed);
         return;
     }
-    last_direct_ = relayed ? last_direct_ : ctx_.now.steady;
-    Machine& m = enter(r.machine).first;
+    last_direct_heartbeat_at_ = relayed ? last_direct_heartbeat_at_ : ctx_.now.steady;
+    Machine& m = find_or_add(r.machine).first;
     if (m.heartbeat_received &&
         std::tie(r.session, r.seq) <= std::tie(m.agent_epoch, m.heartbeat_seq)) {
         // A delayed report: its list of tasks is as old as itself.
@@ -247,14 +248,14 @@
     }
     if (m.open_request) {
         // The worker gave up on the earlier report; nobody reads its answer.
-        refuse(*m.open_request, 503);
+        reject_heartbeat(*m.open_request, 503);
         m.open_request.reset();
     }
     if (const auto& mark = site(m).mark; mark && mark->gone) {
-        refuse(request, 503);
+        reject_heartbeat(request, 503);
         return;
     }
-    take_in(m, r);
+    apply_heartbeat(m, r);
     m.last_heartbeat_at = ctx_.now.steady;
     m.last_heartbeat_relayed = relayed;
     m.probe_failures = 0;
@@ -263,7 +264,7 @@
     m.reply_held_open = false;
     if (!m.awaiting_reply) {
         m.awaiting_reply = true;
-        asking_.push_back(&m);
+        awaiting_reply_.push_back(&m);
     }
     if (r.token == ctx_.fencing_token && !m.adopted) {
         m.adopted = true;
@@ -271,32 +272,32 @@
                   m.tasks.size());
     }
     if (!m.adopted) {
-        answer(m);  // raises its token
+        send_heartbeat_reply(m);  // raises its token
         return;
     }
     m.reply_deadline = ctx_.now.steady + constants::report_hold_s;
-    observe(m, true);
+    reconcile_tasks(m, true);
     if (relayed) {
         // Its peer has few connections for relays and waits less long than an answer is kept open
         // for: held, they would fail for hundreds of machines whose owner is cut off from them.
-        answer(m);
+        send_heartbeat_reply(m);
         return;
     }
-    settle(m);
+    reply_if_due(m);
 }
 
 // Whether the way between this process and its machines is more likely to be cut than they are to
 // be gone: their reports come by way of others, or none has come for much longer than there should
 // be between any two.
-bool Fleet::cut_from_workers(int mine, int relayed) const {
+bool Fleet::partitioned_from_workers(int mine, int relayed) const {
     double t = ctx_.now.steady;
     double apart = ctx_.settings.report_s * constants::report_spread / std::max(1, mine);
     double gap = std::max(constants::report_gap_s, apart * constants::report_gap_factor);
     return mine > constants::silent_few &&
-           (relayed > mine * constants::relayed_share || t - last_direct_ > gap);
+           (relayed > mine * constants::relayed_share || t - last_direct_heartbeat_at_ > gap);
 }
 
-void Fleet::take_in(Machine& m, const Report& r) {
+void Fleet::apply_heartbeat(Machine& m, const Report& r) {
     bool first = !m.heartbeat_received;
     m.room_known = false;
     m.address = r.address;
@@ -332,7 +333,7 @@
     }
 }
 
-bool Fleet::gang_broken(const Job& job) {
+bool Fleet::gang_incomplete(const Job& job) {
     if (job.spec.kind != JobKind::gang) {
         return false;
     }
@@ -341,12 +342,12 @@
     return placed > 0 && job.done() == 0 && placed < job.spec.tasks;
 }
 
-bool Fleet::wants_start(const Machine& m, const Job& job) const {
+bool Fleet::should_start(const Machine& m, const Job& job) const {
     return !job.cancelled && !job.final && !site(m).mark && !m.release_mark_pending &&
-           !m.interruption_deadline && !gang_broken(job) && !job.stopping();
+           !m.interruption_deadline && !gang_incomplete(job) && !job.stopping();
 }
 
-void Fleet::exited(Machine& m, const TaskStatus& s) {
+void Fleet::record_exit(Machine& m, const TaskStatus& s) {
     Outcomes::Outcome o;
     o.attempt = s.attempt;
     o.machine = m.name;
@@ -376,7 +377,7 @@
     if (o.done) {
         m.failed_jobs.clear();
     } else if (o.error) {
-        failed(m, *job);
+        note_task_failure(m, *job);
     } else if (s.why == ExitReason::no_room || s.why == ExitReason::busy) {
         m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
     }
@@ -385,12 +386,12 @@
 // A failed task speaks against its machine, until its job has failed elsewhere too. Guards against
 // machines set aside for a job that was submitted with a mistake, however many of its tasks failed
 // there.
-void Fleet::failed(Machine& m, const Job& job) {
+void Fleet::note_task_failure(Machine& m, const Job& job) {
     if (!job.doubtful()) {
         m.failed_jobs.insert(job.spec.uid);
     }
     if (m.failed_jobs.size() >= constants::machine_errors_max) {
-        mark(m, "failing tasks", false);
+        mark_for_release(m, "failing tasks", false);
     }
     m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
 }
@@ -399,10 +400,10 @@
 // knows of them, also after a take-over. The pause begins when they are seen.
 void Fleet::note_failures(const std::string& uid, const Job& job) {
     if (job.fails == 0) {
-        failures_.erase(uid);
+        job_failures_.erase(uid);
         return;
     }
-    Failures& f = failures_[uid];
+    JobFailures& f = job_failures_[uid];
     if (f.count == job.fails) {
         return;
     }
@@ -420,7 +421,7 @@
     }
 }
 
-void Fleet::observe(Machine& m, bool from_report) {
+void Fleet::reconcile_tasks(Machine& m, bool from_report) {
     for (const auto& [id, on] : site(m).tasks) {
         const Job* job = on.job;
         const Placement* p = on.place;
@@ -428,7 +429,7 @@
         auto t = m.tasks.find(attempt);
         if (t != m.tasks.end()) {
             if (t->second.state == TaskState::exited) {
-                exited(m, t->second);
+                record_exit(m, t->second);
             } else {
                 m.seen_running.insert(attempt);
                 stop_unwanted(m, *job, id, *p);
@@ -439,7 +440,7 @@
         // command's answer may overtake a start that is still in flight.
         bool proof = from_report || m.starts_sent.count(attempt) == 0;
         bool lost_gang = job->spec.kind == JobKind::gang && m.seen_running.count(attempt) != 0;
-        if (proof && (lost_gang || !wants_start(m, *job))) {
+        if (proof && (lost_gang || !should_start(m, *job))) {
             Outcomes::Outcome o;
             o.attempt = p->attempt;
             o.machine = m.name;
@@ -459,7 +460,7 @@
 
 // --- answers ------------------------------------------------------------------------------
 
-void Fleet::answer(Machine& m) {
+void Fleet::send_heartbeat_reply(Machine& m) {
     if (!m.open_request) {
         return;
     }
@@ -499,7 +500,7 @@
         bool may_start = members_.may_start();
         for (const auto& [id, on] : site(m).tasks) {
             const Placement* p = on.place;
-            if (!may_start || !wants_start(m, *on.job)) {
+            if (!may_start || !should_start(m, *on.job)) {
                 continue;
             }
             Attempt attempt{id, p->attempt};
@@ -516,24 +517,24 @@
     ctx_.out.emplace_back(std::move(reply));
 }
 
-void Fleet::settle_answers() {
+void Fleet::reply_to_due_heartbeats() {
     // Those that were answered otherwise leave the list here: until then they stay known, see
-    // over().
+    // can_forget().
     std::size_t kept = 0;
-    for (std::size_t i = 0; i < asking_.size(); ++i) {
-        Machine* m = asking_[i];
+    for (std::size_t i = 0; i < awaiting_reply_.size(); ++i) {
+        Machine* m = awaiting_reply_[i];
         if (m->open_request && !(m->reply_held_open && ctx_.now.steady < m->reply_deadline)) {
-            settle(*m);
+            reply_if_due(*m);
         }
         m->awaiting_reply = m->open_request.has_value();
         if (m->awaiting_reply) {
-            asking_[kept++] = m;
+            awaiting_reply_[kept++] = m;
         }
     }
-    asking_.resize(kept);
+    awaiting_reply_.resize(kept);
 }
 
-void Fleet::settle(Machine& m) {
+void Fleet::reply_if_due(Machine& m) {
     if (!m.open_request) {
         return;
     }
@@ -546,7 +547,7 @@
     bool news = false;  // whether the worker may soon have something to report
     for (const auto& [id, on] : site(m).tasks) {
         auto t = m.tasks.find({id, on.place->attempt});
-        start_due = start_due || (t == m.tasks.end() && wants_start(m, *on.job));
+        start_due = start_due || (t == m.tasks.end() && should_start(m, *on.job));
         news = news || on.job->cancelled || on.job->spec.kind != JobKind::service ||
                t == m.tasks.end() || t->second.state != TaskState::running;
     }
@@ -565,7 +566,7 @@
         m.reply_held_open = true;
         return;
     }
-    answer(m);
+    send_heartbeat_reply(m);
 }
 
 // --- stops --------------------------------------------------------------------------------
@@ -583,7 +584,7 @@
     });
 }
 
-void Fleet::stop(Machine& m, const Attempt& task, double grace_s) {
+void Fleet::stop_task(Machine& m, const Attempt& task, double grace_s) {
     auto [it, first] = m.pending_stops.try_emplace(task);
     if (!first && it->second.grace_s <= grace_s) {
         return;
@@ -596,7 +597,8 @@
     it->second.grace_s = grace_s;
     if (m.adopted && m.heartbeat_received) {
         send_stop(m, task, it->second);
-        answer(m);  // a worker with a report in flight could not tell that the task ended
+        send_heartbeat_reply(
+            m);  // a worker with a report in flight could not tell that the task ended
     }
 }
 
@@ -616,7 +618,7 @@
         }
         if (m.open_request && !mine) {
             m.owned_by_us = false;
-            answer(m);
+            send_heartbeat_reply(m);
         }
         m.owned_by_us = mine;
         m.adopted = false;
@@ -628,7 +630,7 @@
             m.owned_since = ctx_.now.steady;
             m.probe_failures = 0;
             ++taken;
-            to_raise_.push_back(name);
+            token_raise_queue_.push_back(name);
         }
     }
     if (taken > 0) {
@@ -638,17 +640,17 @@
 
 // A few at a time: hundreds of connections at once would cost a slow controller seconds, while
 // its other workers and its lease wait. Those that report meanwhile are adopted that way.
-void Fleet::raise_tokens() {
-    for (int i = 0; i < constants::raise_per_tick && !to_raise_.empty(); ++i) {
-        Machine* m = find(to_raise_.front());
-        to_raise_.pop_front();
+void Fleet::raise_fencing_tokens() {
+    for (int i = 0; i < constants::raise_per_tick && !token_raise_queue_.empty(); ++i) {
+        Machine* m = find(token_raise_queue_.front());
+        token_raise_queue_.pop_front();
         if (m != nullptr && m->owned_by_us && !m->adopted) {
-            raise_token(*m, 2);
+            raise_fencing_token(*m, 2);
         }
     }
 }
 
-void Fleet::raise_token(Machine& m, int tries) {
+void Fleet::raise_fencing_token(Machine& m, int tries) {
     if (m.address.empty() || tries == 0 || site(m).mark) {
         return;
     }
@@ -669,22 +671,22 @@
             std::tie(r.session, r.seq) <= std::tie(m->agent_epoch, m->heartbeat_seq)) {
             return;
         }
-        take_in(*m, r);
+        apply_heartbeat(*m, r);
         if (r.token == ctx_.fencing_token) {
             m->adopted = true;
             m->last_heartbeat_at = ctx_.now.steady;
             ctx_.info("machine {}: adopted in session {} with {} tasks", name, m->agent_epoch,
                       m->tasks.size());
-            observe(*m, false);
+            reconcile_tasks(*m, false);
         } else {
-            raise_token(*m, tries - 1);  // its session was another than we thought
+            raise_fencing_token(*m, tries - 1);  // its session was another than we thought
         }
     });
 }
 
-void Fleet::listed(const std::vector<ListedMachine>& list) {
+void Fleet::apply_cloud_listing(const std::vector<ListedMachine>& list) {
     for (const auto& l : list) {
-        auto [m, fresh] = enter(l.name);
+        auto [m, fresh] = find_or_add(l.name);
         m.room_known = m.room_known && m.type == l.type;
         // A rental's answer names no address. It may come after the machine's first report.
         m.address = l.address.empty() ? m.address : l.address;
@@ -707,7 +709,7 @@
             m.adopted = false;
             m.owned_since = ctx_.now.steady;
             if (l.state == ListedState::running) {
-                to_raise_.push_back(m.name);
+                token_raise_queue_.push_back(m.name);
             }
         }
     }
@@ -715,19 +717,19 @@
 
 // --- upkeep -------------------------------------------------------------------------------
 
-void Fleet::mark(Machine& m, const std::string& why, bool fence) {
+void Fleet::mark_for_release(Machine& m, const std::string& why, bool fence) {
     const Mark* old = ctx_.jobs.mark(m.name);
     if (m.release_mark_pending || !ctx_.member || !members_.in_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
     }
     m.release_mark_pending = true;
-    to_mark_[{why, fence}].insert(m.name);
+    pending_release_marks_[{why, fence}].insert(m.name);
     ctx_.info("machine {}: to be returned ({})", m.name, why);
 }
 
-void Fleet::write_marks() {
-    auto waiting = std::exchange(to_mark_, {});
+void Fleet::write_release_marks() {
+    auto waiting = std::exchange(pending_release_marks_, {});
     Txn txn;
     txn.purpose = Txn::Purpose::mark;
     std::set<std::string> names;
@@ -796,7 +798,7 @@
                 m->agent_epoch = std::max(m->agent_epoch, reply.report->session);
             }
             if (m->owned_by_us) {
-                raise_token(*m, 1);
+                raise_fencing_token(*m, 1);
             }
         } else {
             m->probe_failures++;
@@ -805,13 +807,13 @@
 }
 
 double Fleet::job_pause_until(const std::string& uid) const {
-    auto it = failures_.find(uid);
-    return it == failures_.end() ? -1e9 : it->second.not_before;
+    auto it = job_failures_.find(uid);
+    return it == job_failures_.end() ? -1e9 : it->second.not_before;
 }
 
 std::pair<double, double> Fleet::whole_machine_arrivals(double since_wall) const {
     std::pair<double, double> sums;
-    for (const auto& [uid, at] : whole_) {
+    for (const auto& [uid, at] : whole_machine_jobs_) {
         if (at.first >= since_wall) {
             sums.first += at.second;
             sums.second += static_cast<double>(at.second) * at.second;
@@ -820,12 +822,13 @@
     return sums;
 }
 
-double Fleet::cheap_arrivals(double since_wall) const {
-    return static_cast<double>(std::count_if(
-        cheap_.begin(), cheap_.end(), [&](const auto& t) { return t.second.first >= since_wall; }));
+double Fleet::spot_arrivals(double since_wall) const {
+    return static_cast<double>(
+        std::count_if(spot_jobs_.begin(), spot_jobs_.end(),
+                      [&](const auto& t) { return t.second.first >= since_wall; }));
 }
 
-double Fleet::silence_s() const {
+double Fleet::heartbeat_timeout_s() const {
     return ctx_.tunables.silence_s > 0
                ? ctx_.tunables.silence_s
                : ctx_.settings.report_s * constants::report_spread + constants::silence_margin_s;
@@ -836,7 +839,7 @@
     return it == placed_at_.end() ? ctx_.now.steady : it->second;
 }
 
-bool Fleet::takes_whole(const JobSpec& spec) const {
+bool Fleet::needs_whole_machine(const JobSpec& spec) const {
     Resources two = spec.each * 2;
     return std::none_of(types_.begin(), types_.end(),
                         [&](const MachineType& t) { return two.fits_in(t.size); });
@@ -846,20 +849,20 @@
     if (job.waiting || job.came_wall() < ctx_.now.wall - constants::arrivals_s) {
         return;
     }
-    if (takes_whole(job.spec)) {
-        whole_.try_emplace(uid, job.came_wall(), job.spec.tasks);
+    if (needs_whole_machine(job.spec)) {
+        whole_machine_jobs_.try_emplace(uid, job.came_wall(), job.spec.tasks);
     }
     // Without checkpoints a machine that is taken back costs all the work on it: such jobs
     // use cheap machines that are there, but none are kept for them.
     if (job.spec.spot && job.spec.checkpoint_s > 0) {
-        cheap_.try_emplace(uid, job.came_wall(), job.spec.tasks);
+        spot_jobs_.try_emplace(uid, job.came_wall(), job.spec.tasks);
     }
 }
 
 // A task that must end: its job was cancelled, its gang lost a part, or is to be stopped whole.
 // Once one of its tasks has ended the gang has saved, or never will.
 void Fleet::stop_unwanted(Machine& m, const Job& job, const TaskId& id, const Placement& p) {
-    bool at_once = job.cancelled || gang_broken(job);
+    bool at_once = job.cancelled || gang_incomplete(job);
     if (!m.owned_by_us || !m.adopted || !(at_once || job.stopping())) {
         return;
     }
@@ -869,7 +872,7 @@
     // A start that has gone out but isn't reported yet must be stopped as well.
     bool there = t != m.tasks.end() || m.starts_sent.count(attempt) != 0;
     if (there && !exited) {
-        stop(m, attempt, at_once ? 0 : job.spec.save_s);
+        stop_task(m, attempt, at_once ? 0 : job.spec.save_s);
     }
 }
 
@@ -888,18 +891,18 @@
         if (job == nullptr) {
             continue;
         }
-        auto [m, fresh] = enter(p.machine);
+        auto [m, fresh] = find_or_add(p.machine);
         if (fresh) {
             m.zone = p.zone;
             m.launched_at = ctx_.now.steady;
             m.owned_by_us = members_.owned_by_us(m.name, m.zone);
             m.owned_since = ctx_.now.steady;
         }
-        touch_image(m, job->spec.image, job->spec.image_gb);
+        note_image_used(m, job->spec.image, job->spec.image_gb);
     }
     for (const auto& name : ctx_.jobs.take_touched_machines()) {
         if (members_.is_leader()) {
-            conclude_gone(name);
+            record_exits_of_released(name);
         }
         Machine* m = find(name);
         if (m == nullptr) {
@@ -907,18 +910,18 @@
         }
         m->room_known = false;
         note_empty(*m);
-        settle(*m);
+        reply_if_due(*m);
     }
     for (const auto& uid : touched) {
         outcomes_.look_again(uid);
         const Job* job = ctx_.jobs.find(uid);
         if (job == nullptr) {
-            failures_.erase(uid);
+            job_failures_.erase(uid);
             continue;
         }
         note_arrival(uid, *job);
         note_failures(uid, *job);
-        if (!job->cancelled && !gang_broken(*job) && !job->stopping()) {
+        if (!job->cancelled && !gang_incomplete(*job) && !job->stopping()) {
             continue;  // a job of many thousand tasks changes many times a second
         }
         job->each_placement([&](int task, const Placement& p) {
@@ -931,7 +934,7 @@
 }
 
 // The cloud's answer to a release is the proof that everything on the machine has ended.
-void Fleet::conclude_gone(const std::string& name) {
+void Fleet::record_exits_of_released(const std::string& name) {
     const Mark* mark = ctx_.jobs.mark(name);
     if (mark == nullptr || !mark->gone) {
         return;
@@ -942,31 +945,31 @@
 }
 
 void Fleet::tick() {
-    raise_tokens();
-    write_marks();
+    raise_fencing_tokens();
+    write_release_marks();
     if (ctx_.now.steady >= next_sweep_) {
         next_sweep_ = ctx_.now.steady + constants::sweep_every_s;
         sweep();
     }
     outcomes_.flush();
-    settle_answers();
+    reply_to_due_heartbeats();
 }
 
 // Looks at every machine: the silent, the faulty, the failed, and those that are no more.
 void Fleet::sweep() {
-    forget_old();
+    prune_expired();
     fence_cancelled();
     if (members_.is_leader()) {
         for (const auto& [key, marks] : ctx_.jobs.marks()) {
             for (const auto& name : marks.gone) {
-                conclude_gone(name);  // also of claims that came after the machine's end
+                record_exits_of_released(name);  // also of claims that came after the machine's end
             }
         }
     }
-    Silence silence = count_silent();
+    Silence silence = count_silent_machines();
     for (auto it = machines_.begin(); it != machines_.end();) {
         Machine& m = it->second;
-        if (over(m)) {
+        if (can_forget(m)) {
             std::erase(all_, &m);
             it = machines_.erase(it);
             continue;
@@ -974,11 +977,11 @@
         ++it;
         note_empty(m);
         if (ctx_.member && m.owned_by_us) {
-            repeat_stops(m);
+            resend_pending_stops(m);
         }
         if (ctx_.member && m.owned_by_us && !site(m).mark) {
-            save_in_time(m);
-            look_after(m, silence);
+            checkpoint_before_interruption(m);
+            check_liveness(m, silence);
         }
     }
 }
@@ -988,8 +991,8 @@
 // Guards against machines released, with all else that ran on them, for ends that only wait to be
 // written: their work then came back and made the wait longer.
 void Fleet::fence_cancelled() {
-    for (Machine* m : overdue()) {
-        mark(*m, "cancelled task still there", true);
+    for (Machine* m : machines_with_overdue_cancels()) {
+        mark_for_release(*m, "cancelled task still there", true);
     }
 }
 
@@ -997,10 +1000,11 @@
 // with a mark that says so: what must be released even by somebody who can write nothing down.
 std::set<std::string> Fleet::overdue_and_silent() {
     std::set<std::string> names;
-    for (const Machine* m : overdue()) {
+    for (const Machine* m : machines_with_overdue_cancels()) {
         // Who answers a probe is alive, and only reports to another by now.
         if (m->probe_failures > 0 &&
-            ctx_.now.steady - std::max(m->last_heartbeat_at, m->owned_since) > silence_s()) {
+            ctx_.now.steady - std::max(m->last_heartbeat_at, m->owned_since) >
+                heartbeat_timeout_s()) {
             names.insert(m->name);
         }
     }
@@ -1016,7 +1020,7 @@
     return names;
 }
 
-std::set<Machine*> Fleet::overdue() {
+std::set<Machine*> Fleet::machines_with_overdue_cancels() {
     std::set<Machine*> machines;
     double limit = ctx_.settings.cancel_s * constants::cancel_fence_share;
     double last = ctx_.settings.cancel_s * constants::cancel_fence_last_share;
@@ -1032,7 +1036,7 @@
             bool ended = end != nullptr && end->attempt == p.attempt;
             // Just taken over: what ended there before is known with its first report.
             bool new_here = m != nullptr && !m->adopted && since < last &&
-                            ctx_.now.steady - m->owned_since < silence_s();
+                            ctx_.now.steady - m->owned_since < heartbeat_timeout_s();
             if (m != nullptr && m->owned_by_us && !ended && !new_here) {
                 machines.insert(m);
             }
@@ -1042,31 +1046,31 @@
     return machines;
 }
 
-void Fleet::forget_old() {
-    if (ctx_.now.steady < next_forget_) {
+void Fleet::prune_expired() {
+    if (ctx_.now.steady < next_prune_) {
         return;
     }
-    next_forget_ = ctx_.now.steady + constants::forget_every_s;
+    next_prune_ = ctx_.now.steady + constants::forget_every_s;
     ctx_.jobs.forget_sites();
     std::erase_if(placed_at_,
                   [&](const auto& entry) { return ctx_.jobs.placement(entry.first) == nullptr; });
-    std::erase_if(sent_home_, [&](const auto& s) {
-        return ctx_.now.steady - s.second.last > constants::gone_mark_s;
+    std::erase_if(redirects_, [&](const auto& s) {
+        return ctx_.now.steady - s.second.last_at > constants::gone_mark_s;
     });
-    for (auto* times : {&whole_, &cheap_}) {
+    for (auto* times : {&whole_machine_jobs_, &spot_jobs_}) {
         double old = ctx_.now.wall - constants::arrivals_s;
         std::erase_if(*times, [&](const auto& e) { return e.second.first < old; });
     }
 }
 
 bool Fleet::Silence::Count::suspect() const {
-    return silent > constants::silent_few && silent > mine * constants::silent_share;
+    return silent > constants::silent_few && silent > owned * constants::silent_share;
 }
 
 // When most machines fall silent at once, this process's own network is the likelier cause; when
 // most of another zone do, that zone is cut off. Inside it work goes on and its images stay:
 // releasing hundreds of healthy machines would cost more than waiting for them.
-Fleet::Silence Fleet::count_silent() {
+Fleet::Silence Fleet::count_silent_machines() {
     Silence silence;
     int relayed = 0;
     std::map<std::string, Silence::Count> zones;
@@ -1075,31 +1079,32 @@
         if (!m.owned_by_us || !known || site(m).mark) {
             continue;
         }
-        bool quiet = ctx_.now.steady - std::max(m.last_heartbeat_at, m.owned_since) > silence_s();
+        bool quiet =
+            ctx_.now.steady - std::max(m.last_heartbeat_at, m.owned_since) > heartbeat_timeout_s();
         Silence::Count& zone = zones[m.zone];
-        zone.mine++;
+        zone.owned++;
         zone.silent += quiet ? 1 : 0;
         if (m.heartbeat_received && m.adopted) {
-            silence.all.mine++;
-            silence.all.silent += quiet ? 1 : 0;
+            silence.adopted.owned++;
+            silence.adopted.silent += quiet ? 1 : 0;
             relayed += m.last_heartbeat_relayed &&
                                ctx_.now.steady - m.last_heartbeat_at < constants::relay_detour_s
                            ? 1
                            : 0;
         }
     }
-    silence.path_cut = cut_from_workers(silence.all.mine, relayed);
-    cut_zones_.clear();
+    silence.path_cut = partitioned_from_workers(silence.adopted.owned, relayed);
+    partitioned_zones_.clear();
     for (const auto& [zone, count] : zones) {
         if (zone != ctx_.settings.zone && count.suspect()) {
-            cut_zones_.insert(zone);
+            partitioned_zones_.insert(zone);
         }
     }
     return silence;
 }
 
 // Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
-bool Fleet::over(Machine& m) const {
+bool Fleet::can_forget(Machine& m) const {
     const auto& mark = site(m).mark;
     bool placed = !site(m).tasks.empty();
     if (mark && mark->gone) {
@@ -1119,7 +1124,7 @@
            ctx_.now.steady - m.listed_at > constants::gone_mark_s;
 }
 
-void Fleet::repeat_stops(Machine& m) {
+void Fleet::resend_pending_stops(Machine& m) {
     double t = ctx_.now.steady;
     for (auto& [task, s] : m.pending_stops) {
         if (m.adopted && t - s.last_sent_at >= constants::stop_repeat_s) {
@@ -1133,7 +1138,7 @@
 
 // Before a machine is taken away, what can save on it does: its progress since the last checkpoint
 // would be lost, and it starts elsewhere the sooner. As late as it may be, since what runs may end.
-void Fleet::save_in_time(Machine& m) {
+void Fleet::checkpoint_before_interruption(Machine& m) {
     if (!m.interruption_deadline || !m.adopted) {
         return;
     }
@@ -1152,7 +1157,7 @@
             continue;
         }
         if (s.kind == JobKind::array || s.tasks == 1) {
-            stop(m, attempt, s.save_s);
+            stop_task(m, attempt, s.save_s);
         } else if (GangStops::would_save(*on.job)) {
             gang_stops_.ask(*on.job, "its machine " + m.name + " is taken away");
         }
@@ -1160,47 +1165,47 @@
 }
 
 // s without a report after which a machine is fenced.
-double Fleet::patience_s(const Machine& m, const Silence& silence) const {
-    double limit = silence_s();
-    if (silence.all.silent == silence.all.mine || silence.path_cut) {
+double Fleet::fence_after_s(const Machine& m, const Silence& silence) const {
+    double limit = heartbeat_timeout_s();
+    if (silence.adopted.silent == silence.adopted.owned || silence.path_cut) {
         // Perhaps only the way to it is cut: a worker needs this long to come back by way of
         // another controller, which relays its reports. Guards against the release of hundreds of
         // healthy machines by a controller that is cut off from them.
         limit = std::max(
             limit, constants::relay_detour_s + ctx_.settings.report_s * constants::report_spread);
     }
-    if (silence.all.suspect()) {
-        limit = ctx_.settings.lease_s + silence_s();
+    if (silence.adopted.suspect()) {
+        limit = ctx_.settings.lease_s + heartbeat_timeout_s();
     }
-    if (cut_off(m.zone)) {
+    if (zone_partitioned(m.zone)) {
         // By then every lease there has ended; starting anew costs about a boot.
         limit = std::max(limit, ctx_.settings.cancel_s + longest_boot_s());
     }
     return limit;
 }
 
-void Fleet::look_after(Machine& m, const Silence& silence) {
+void Fleet::check_liveness(Machine& m, const Silence& silence) {
     double t = ctx_.now.steady;
     double quiet = t - std::max(m.last_heartbeat_at, m.owned_since);
     bool placed = !site(m).tasks.empty();
     if (m.listed_state == ListedState::failed) {
-        mark(m, "failed", true);
+        mark_for_release(m, "failed", true);
     } else if (placed && m.address.empty() && quiet > constants::unreported_s) {
         // Placed by a claim on a machine that nobody lists any more: it can't be probed.
-        mark(m, "unknown", true);
+        mark_for_release(m, "unknown", true);
     } else if (m.heartbeat_received || placed) {
-        double limit = patience_s(m, silence);
+        double limit = fence_after_s(m, silence);
         if (quiet > limit && m.probe_failures > 0) {
-            mark(m, "silent", true);
+            mark_for_release(m, "silent", true);
         } else if (quiet > limit - constants::order_timeout_s) {
             probe(m);
         }
-    } else if (m.running_since >= 0 && !cut_off(m.zone) &&
+    } else if (m.running_since >= 0 && !zone_partitioned(m.zone) &&
                t - std::max(m.running_since, m.owned_since) > constants::unreported_s) {
-        mark(m, "never reported", true);
+        mark_for_release(m, "never reported", true);
     }
     if (m.interruption_deadline && !placed && m.heartbeat_received) {
-        mark(m, "taken away soon", false);
+        mark_for_release(m, "taken away soon", false);
     }
 }
 
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -103,13 +103,13 @@
         : ctx_(ctx), members_(members), outcomes_(ctx, quota, *this, sheets), gang_stops_(ctx) {}
 
     // A report; relayed ones came over a peer and are never passed on again.
-    void report(std::uint64_t request, const Report& report, bool relayed);
+    void handle_heartbeat(std::uint64_t request, const Report& report, bool relayed);
     void epoch_changed(const std::optional<Epoch>& before);
     // touched: jobs that changed
     void records_changed(const std::set<std::string>& touched);
     void tick();
-    void listed(const std::vector<ListedMachine>& machines);
-    void set_types(const std::vector<MachineType>& types);
+    void apply_cloud_listing(const std::vector<ListedMachine>& machines);
+    void set_machine_types(const std::vector<MachineType>& types);
 
     const std::map<std::string, Machine>& machines() const { return machines_; }
     // The same in the same order, for looks at all of them: a walk over a tree costs more than most
@@ -136,38 +136,40 @@
     bool in_use(const Machine& m) const;
     double longest_boot_s() const;
     // Whether no machine takes two tasks of that size.
-    bool takes_whole(const JobSpec& spec) const;
+    bool needs_whole_machine(const JobSpec& spec) const;
     // Answers the open report now, with all commands due.
-    void answer(Machine& m);
+    void send_heartbeat_reply(Machine& m);
     // Answers it if there is something to say or nothing to wait for.
-    void settle(Machine& m);
-    void settle_answers();
+    void reply_if_due(Machine& m);
+    void reply_to_due_heartbeats();
     // Asks a task to stop, directly and with every response until it is gone.
-    void stop(Machine& m, const Attempt& task, double grace_s);
+    void stop_task(Machine& m, const Attempt& task, double grace_s);
     // Marks it for return; the marks of one look are written together.
-    void mark(Machine& m, const std::string& why, bool fence);
+    void mark_for_release(Machine& m, const std::string& why, bool fence);
     // A job whose tasks fail is left alone until then.
     double job_pause_until(const std::string& uid) const;
     // Machines that jobs submitted since then take whole: the sum, and the sum of their squares.
     std::pair<double, double> whole_machine_arrivals(double since_wall) const;
     // Jobs submitted since then that may use spot machines.
-    double cheap_arrivals(double since_wall) const;
+    double spot_arrivals(double since_wall) const;
     // Whether that zone seems to be cut off: nothing new goes there.
-    bool cut_off(const std::string& zone) const { return cut_zones_.count(zone) != 0; }
+    bool zone_partitioned(const std::string& zone) const {
+        return partitioned_zones_.count(zone) != 0;
+    }
     // Seconds without a report after which a machine is probed and then fenced.
-    double silence_s() const;
+    double heartbeat_timeout_s() const;
     // When a task's placement was first seen here.
     double placed_at(const TaskId& id) const;
-    static bool gang_broken(const Job& job);
+    static bool gang_incomplete(const Job& job);
     // Whether all that is placed there has ended, as far as its owner knows.
     bool vacated(const Machine& m) const;
     const Outcomes& outcomes() const { return outcomes_; }
     GangStops& gang_stops() { return gang_stops_; }
-    void conclude_gone(const std::string& machine);
+    void record_exits_of_released(const std::string& machine);
 
   private:
     // What this process makes of a job's failures, which stand in its blocks.
-    struct Failures {
+    struct JobFailures {
         int count = 0;
         double not_before = -1e9;
     };
@@ -175,43 +177,44 @@
     // How many of this process's machines are silent, as one look finds them.
     struct Silence {
         struct Count {
-            int mine = 0;
+            int owned = 0;
             int silent = 0;
             bool suspect() const;  // too many at once to be the machines' own doing
         };
-        Count all;  // that it has adopted
+        Count adopted;  // of the machines it has adopted
         bool path_cut = false;
     };
 
-    std::pair<Machine&, bool> enter(const std::string& name);
-    void take_in(Machine& m, const Report& r);
-    void observe(Machine& m, bool from_report);
-    void exited(Machine& m, const TaskStatus& s);
-    bool wants_start(const Machine& m, const Job& job) const;
-    void raise_token(Machine& m, int tries);
+    std::pair<Machine&, bool> find_or_add(const std::string& name);
+    void apply_heartbeat(Machine& m, const Report& r);
+    void reconcile_tasks(Machine& m, bool from_report);
+    void record_exit(Machine& m, const TaskStatus& s);
+    bool should_start(const Machine& m, const Job& job) const;
+    void raise_fencing_token(Machine& m, int tries);
     void probe(Machine& m);
-    void redirect(std::uint64_t request, const Report& r, const Member* owner, bool relayed);
-    void touch_image(Machine& m, const std::string& image, double gb);
-    void refuse(std::uint64_t request, int status, const std::string& home = "");
+    void redirect_heartbeat(std::uint64_t request, const Report& r, const Member* owner,
+                            bool relayed);
+    void note_image_used(Machine& m, const std::string& image, double gb);
+    void reject_heartbeat(std::uint64_t request, int status, const std::string& home = "");
     void send_stop(Machine& m, const Attempt& task, Machine::PendingStop& s);
     void note_arrival(const std::string& uid, const Job& job);
     void note_failures(const std::string& uid, const Job& job);
-    void failed(Machine& m, const Job& job);
+    void note_task_failure(Machine& m, const Job& job);
     void stop_unwanted(Machine& m, const Job& job, const TaskId& id, const Placement& p);
     void note_empty(Machine& m) const;
     void sweep();
-    void forget_old();
-    Silence count_silent();
-    bool over(Machine& m) const;
-    void repeat_stops(Machine& m);
-    void save_in_time(Machine& m);
-    std::set<Machine*> overdue();
+    void prune_expired();
+    Silence count_silent_machines();
+    bool can_forget(Machine& m) const;
+    void resend_pending_stops(Machine& m);
+    void checkpoint_before_interruption(Machine& m);
+    std::set<Machine*> machines_with_overdue_cancels();
     void fence_cancelled();
-    double patience_s(const Machine& m, const Silence& silence) const;
-    void look_after(Machine& m, const Silence& silence);
-    bool cut_from_workers(int mine, int relayed) const;
-    void raise_tokens();
-    void write_marks();
+    double fence_after_s(const Machine& m, const Silence& silence) const;
+    void check_liveness(Machine& m, const Silence& silence);
+    bool partitioned_from_workers(int mine, int relayed) const;
+    void raise_fencing_tokens();
+    void write_release_marks();
 
     Context& ctx_;
     Membership& members_;
@@ -221,25 +224,26 @@
     std::vector<Machine*> all_;
     std::vector<MachineType> types_;
     mutable std::unordered_map<std::string, int> image_numbers_;
-    std::vector<Machine*> asking_;  // machines whose report waits for its answer
-    std::map<std::string, Failures> failures_;
+    std::vector<Machine*> awaiting_reply_;  // machines whose report waits for its answer
+    std::map<std::string, JobFailures> job_failures_;
     std::unordered_map<TaskId, double, TaskIdHash> placed_at_;
     // submission time and machines of such jobs
-    std::map<std::string, std::pair<double, int>> whole_;
-    std::map<std::string, std::pair<double, int>> cheap_;
-    std::deque<std::string> to_raise_;  // taken over, their token still to be raised
-    std::map<std::pair<std::string, bool>, std::set<std::string>> to_mark_;  // by why and fence
-    std::set<std::string> cut_zones_;
+    std::map<std::string, std::pair<double, int>> whole_machine_jobs_;
+    std::map<std::string, std::pair<double, int>> spot_jobs_;
+    std::deque<std::string> token_raise_queue_;  // taken over, their token still to be raised
+    std::map<std::pair<std::string, bool>, std::set<std::string>>
+        pending_release_marks_;  // by why and fence
+    std::set<std::string> partitioned_zones_;
     double next_sweep_ = 0;
-    double next_forget_ = 0;
-    double last_direct_ = -1e9;  // report of a machine of ours, from itself
-    // When a worker was last sent to its owner, and when first to this one.
-    struct Sent {
-        std::uint64_t home = 0;
-        double last = -1e9;
-        double first = -1e9;
+    double next_prune_ = 0;
+    double last_direct_heartbeat_at_ = -1e9;  // heartbeat of a machine of ours, from itself
+    // When a worker was last redirected to its owner, and when first to this owner.
+    struct Redirect {
+        std::uint64_t owner_id = 0;
+        double last_at = -1e9;
+        double first_at = -1e9;
     };
-    std::map<std::string, Sent> sent_home_;  // by machine
+    std::map<std::string, Redirect> redirects_;  // by machine
 };
 
 }  // namespace cranemoor::core
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -94,7 +94,7 @@
         return;
     }
     if (victim->spec.kind != JobKind::gang || victim->spec.tasks == 1) {
-        fleet_.stop(m, {id, p->attempt}, 0);
+        fleet_.stop_task(m, {id, p->attempt}, 0);
         return;
     }
     // The room is there only when the gang has saved.
--- a/src/core/provisioner.cpp
+++ b/src/core/provisioner.cpp
@@ -66,7 +66,7 @@
             list.push_back({m, "", type, zone, spot, ListedState::starting, age_s});
         }
     }
-    fleet_.listed(list);
+    fleet_.apply_cloud_listing(list);
 }
 
 void Provisioner::tell(const std::vector<RentalNotice>& notices) const {
@@ -130,7 +130,7 @@
     ctx_.cloud(call, [this](const CloudReply& r) {
         types_open_ = false;
         if (r.status == CloudReply::Status::ok) {
-            fleet_.set_types(r.types);
+            fleet_.set_machine_types(r.types);
             next_types_ = ctx_.now.steady + constants::types_every_s;
         } else {
             next_types_ = ctx_.now.steady + 1;
@@ -148,7 +148,7 @@
         if (r.status != CloudReply::Status::ok) {
             return;
         }
-        fleet_.listed(r.listed);
+        fleet_.apply_cloud_listing(r.listed);
         if (r.more && !r.listed.empty()) {
             list(r.listed.back().name);
         } else {
@@ -367,7 +367,7 @@
         }
         bool starting = m.listed_state == ListedState::starting;
         if (starting && t - m.launched_at > type->boot_s * constants::boot_dead_factor) {
-            fleet_.mark(m, "never came up", true);
+            fleet_.mark_for_release(m, "never came up", true);
         }
     }
     std::vector<Machine*> empty;
@@ -405,7 +405,7 @@
         }
         double since = std::max(m->empty_since, m->launched_at);
         if (t - since > ctx_.tunables.idle_return_s) {
-            fleet_.mark(*m, "idle", false);
+            fleet_.mark_for_release(*m, "idle", false);
         }
     }
 }
@@ -417,7 +417,7 @@
     for (const auto& [name, m] : fleet_.machines()) {
         const MachineType* type = fleet_.type(m.type);
         if (type == nullptr || m.interruption_deadline || fleet_.site(m).mark ||
-            fleet_.cut_off(m.zone) || m.listed_state == ListedState::failed) {
+            fleet_.zone_partitioned(m.zone) || m.listed_state == ListedState::failed) {
             continue;
         }
         double age = ctx_.now.steady - m.launched_at;
@@ -461,7 +461,7 @@
     std::optional<std::string> best;
     for (const auto& zone : t->zones) {
         auto full = no_capacity_until_.find({type, zone, spot});
-        if ((only && *only != zone) || fleet_.cut_off(zone) || barred.count(zone) != 0 ||
+        if ((only && *only != zone) || fleet_.zone_partitioned(zone) || barred.count(zone) != 0 ||
             (full != no_capacity_until_.end() && full->second > ctx_.now.steady)) {
             continue;
         }
@@ -683,7 +683,7 @@
         cheap += b.spot && t != nullptr && t->size.cpus > 0 ? b.room.cpus / t->size.cpus : 0;
     }
     if (base != nullptr && cheap < constants::cheap_headroom &&
-        fleet_.cheap_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
+        fleet_.spot_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
         if (auto zone = pick_zone(base->name, true, std::nullopt, plan.load)) {
             plan.wanted[{base->name, *zone, true}]++;
         }
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -231,7 +231,7 @@
     const JobSpec& s = job.spec;
     bool gang = s.kind == JobKind::gang && job.done() == 0;
     // A gang of one that takes a whole machine looks for it as larger ones do, among all members'.
-    if (gang && (s.tasks > 1 || fleet_.takes_whole(s))) {
+    if (gang && (s.tasks > 1 || fleet_.needs_whole_machine(s))) {
         if (!claim_gang(round, waiting)) {
             hold_for(round, waiting);
         }
@@ -305,7 +305,7 @@
     int found = 0;
     for (const Machine* each : fleet_.all()) {
         const Machine& m = *each;
-        if (!Fleet::has_image(m, image) || fleet_.cut_off(m.zone) || fleet_.site(m).mark ||
+        if (!Fleet::has_image(m, image) || fleet_.zone_partitioned(m.zone) || fleet_.site(m).mark ||
             !allowed(job, m)) {
             continue;
         }
@@ -763,7 +763,7 @@
             Machine* m = fleet_.find(name);
             if (m != nullptr) {
                 m->claims_in_flight--;
-                fleet_.settle(*m);
+                fleet_.reply_if_due(*m);
             }
         }
     };
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -1091,7 +1091,7 @@
     w.add_machine("vm-500000", "a");
     ASSERT_TRUE(w.until([&] { return w.node(0).fleet().adopted("vm-500000"); }, 20));
     Fleet& fleet = w.node(0).fleet();
-    fleet.listed({{"vm-500000", "", "t8", "a", false, ListedState::starting, 0}});
+    fleet.apply_cloud_listing({{"vm-500000", "", "t8", "a", false, ListedState::starting, 0}});
     EXPECT_EQ(fleet.find("vm-500000")->address, "vm-500000");
 }
 
