--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -1158,8 +1158,9 @@
         }
         if (s.kind == JobKind::array || s.tasks == 1) {
             stop_task(m, attempt, s.save_s);
-        } else if (GangStops::would_save(*on.job)) {
-            gang_stops_.ask(*on.job, "its machine " + m.name + " is taken away");
+        } else if (GangPreemption::would_save(*on.job)) {
+            gang_preemption_.request_preemption(*on.job,
+                                                "its machine " + m.name + " is taken away");
         }
     }
 }
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/context.hpp"
-#include "core/gang_stops.hpp"
+#include "core/gang_preemption.hpp"
 #include "core/membership.hpp"
 #include "core/outcomes.hpp"
 #include "core/quota.hpp"
@@ -100,7 +100,10 @@
 class Fleet {
   public:
     Fleet(Context& ctx, Membership& members, const Quota& quota, BatchedClaims& sheets)
-        : ctx_(ctx), members_(members), outcomes_(ctx, quota, *this, sheets), gang_stops_(ctx) {}
+        : ctx_(ctx),
+          members_(members),
+          outcomes_(ctx, quota, *this, sheets),
+          gang_preemption_(ctx) {}
 
     // A report; relayed ones came over a peer and are never passed on again.
     void handle_heartbeat(std::uint64_t request, const Report& report, bool relayed);
@@ -164,7 +167,7 @@
     // Whether all that is placed there has ended, as far as its owner knows.
     bool vacated(const Machine& m) const;
     const Outcomes& outcomes() const { return outcomes_; }
-    GangStops& gang_stops() { return gang_stops_; }
+    GangPreemption& gang_preemption() { return gang_preemption_; }
     void record_exits_of_released(const std::string& machine);
 
   private:
@@ -219,7 +222,7 @@
     Context& ctx_;
     Membership& members_;
     Outcomes outcomes_;
-    GangStops gang_stops_;
+    GangPreemption gang_preemption_;
     std::map<std::string, Machine> machines_;
     std::vector<Machine*> all_;
     std::vector<MachineType> types_;
--- a/src/core/gang_stops.cpp
+++ b/src/core/gang_preemption.cpp
@@ -1,18 +1,18 @@
-#include "core/gang_stops.hpp"
+#include "core/gang_preemption.hpp"
 
 namespace cranemoor::core {
 
-bool GangStops::would_save(const Job& job) {
+bool GangPreemption::would_save(const Job& job) {
     const JobSpec& s = job.spec;
     return s.kind == JobKind::gang && s.checkpoint_s > 0 && job.placed() == s.tasks &&
            !job.cancelled;
 }
 
-double GangStops::cost_s(const Job& job) const {
+double GangPreemption::cost_s(const Job& job) const {
     return (job.spec.save_s + ctx_.settings.gang_peer_s) * job.spec.tasks;
 }
 
-void GangStops::ask(const Job& job, const std::string& why) {
+void GangPreemption::request_preemption(const Job& job, const std::string& why) {
     auto key = job.block_key(0);
     if (!ctx_.member || job.stopping() || ctx_.busy.count(key) != 0) {
         return;
--- /dev/null
+++ b/src/core/gang_preemption.hpp
@@ -0,0 +1,33 @@
+// GangPreemption: the graceful preemption of a whole gang. A gang can checkpoint only if all of
+// its tasks are told to stop within gang_peer_s, and its machines may be owned by several
+// controllers: the request is one compare-and-swap write to the gang's first block, which every
+// controller acts on as soon as its watch of the key-value store shows it.
+#pragma once
+
+#include <string>
+
+#include "core/context.hpp"
+
+namespace cranemoor::core {
+
+/// Requests and prices the graceful preemption (stop with checkpoint) of whole gangs.
+class GangPreemption {
+  public:
+    /// `ctx` is the controller's context; it must outlive this object.
+    explicit GangPreemption(Context& ctx) : ctx_(ctx) {}
+
+    /// Whether stopping the gang whole would save its progress: it is a gang that checkpoints,
+    /// all its tasks are placed, and it is not cancelled.
+    static bool would_save(const Job& job);
+    /// Machine-seconds that preempting the gang costs: every task checkpoints (save_s) and waits
+    /// for its peers (gang_peer_s).
+    double cost_s(const Job& job) const;
+    /// Writes the preemption request into the gang's first block, unless the request is there
+    /// already or the block is being written (then a later call does it). `why` goes to the log.
+    void request_preemption(const Job& job, const std::string& why);
+
+  private:
+    Context& ctx_;
+};
+
+}  // namespace cranemoor::core
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -37,7 +37,7 @@
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
-        (!GangStops::would_save(victim) || victim.stopping() ||
+        (!GangPreemption::would_save(victim) || victim.stopping() ||
          waited < constants::gang_victim_s)) {
         return false;  // all of it would have to be stopped with the one task that is in the way
     }
@@ -65,7 +65,7 @@
             double lost =
                 other->spec.checkpoint_s > 0 ? std::min(ran, other->spec.checkpoint_s) : ran;
             if (other->spec.kind == JobKind::gang && other->spec.tasks > 1) {
-                lost = fleet_.gang_stops().cost_s(*other);
+                lost = fleet_.gang_preemption().cost_s(*other);
             }
             candidates.emplace_back(lost, id, other);
         }
@@ -98,7 +98,7 @@
         return;
     }
     // The room is there only when the gang has saved.
-    fleet_.gang_stops().ask(*victim, "makes room for " + job.spec.uid);
+    fleet_.gang_preemption().request_preemption(*victim, "makes room for " + job.spec.uid);
     double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
     scheduler_.hold(m.name, job.spec, saved + constants::preempt_pause_s);
 }
