--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -1,5 +1,6 @@
-// Fleet: machines as their workers report them. Sessions, adoption, the answers to reports, the
-// proofs that a task's place is empty, and what becomes of silent or faulty machines.
+// Fleet: the worker machines as their heartbeats show them. Agent epochs, adoption after failover,
+// the replies to heartbeats, reconciliation of reported tasks with the job records (the proof that
+// a task's place is empty), and failure detection: what becomes of silent or faulty machines.
 #pragma once
 
 #include <deque>
@@ -18,6 +19,7 @@
 
 namespace cranemoor::core {
 
+/// One attempt of a task: the task and its attempt number.
 using Attempt = std::pair<TaskId, std::uint64_t>;
 
 /// What this controller knows of one worker machine (agent): its identity, its latest heartbeat,
@@ -97,77 +99,110 @@
     std::vector<std::pair<int, double>> cached_images;
 };
 
+/// The machines (worker agents) as this controller knows them: it takes in their heartbeats and
+/// builds the replies (start, stop and forget commands), adopts machines by raising their fencing
+/// token after a failover, reconciles reported tasks with the job records, detects silent machines
+/// (probe, then fence) and partitioned zones, and marks machines for release. Pure core: all
+/// input and output goes through the Context (ctx.out, ctx.order, ctx.txn, ctx.peer).
 class Fleet {
   public:
+    /// `ctx`, `members`, `quota` and `sheets` must outlive the Fleet.
     Fleet(Context& ctx, Membership& members, const Quota& quota, BatchedClaims& sheets)
         : ctx_(ctx),
           members_(members),
           outcomes_(ctx, quota, *this, sheets),
           gang_preemption_(ctx) {}
 
-    // A report; relayed ones came over a peer and are never passed on again.
+    /// Takes in one heartbeat (wire: a worker report) with request id `request`. Replies at once
+    /// with 503 (may not answer workers), 421 (newer fencing token, or another owner: redirect or
+    /// relay), with 200 at once to a stale one, or holds the reply open until something is due.
+    /// `relayed`: it came by way of a peer controller and is never passed on again.
     void handle_heartbeat(std::uint64_t request, const Report& report, bool relayed);
+    /// The membership epoch changed from `before`: machines whose owner may have changed lose
+    /// their adoption and are queued for a fencing-token raise.
     void epoch_changed(const std::optional<Epoch>& before);
-    // touched: jobs that changed
+    /// The job records changed; `touched` holds the uids of the jobs that changed.
     void records_changed(const std::set<std::string>& touched);
+    /// Periodic work: token raises, release marks, the sweep of all machines, outcome writes and
+    /// the heartbeat replies that have become due.
     void tick();
+    /// Merges the cloud provider's listing of machines.
     void apply_cloud_listing(const std::vector<ListedMachine>& machines);
+    /// Replaces the known machine types; free room is counted anew.
     void set_machine_types(const std::vector<MachineType>& types);
 
+    /// All known machines by name.
     const std::map<std::string, Machine>& machines() const { return machines_; }
-    // The same in the same order, for looks at all of them: a walk over a tree costs more than most
-    // looks.
+    /// The same machines in the same order, as a vector: a walk over a tree costs more than most
+    /// of the looks done on the way.
     const std::vector<Machine*>& all() const { return all_; }
+    /// The machine of that name, or nullptr.
     Machine* find(const std::string& name);
+    /// The machine of that name, or nullptr.
     const Machine* find(const std::string& name) const;
-    // Whether that machine is ours and has reported with our token.
+    /// Whether that machine is ours and has accepted our fencing token.
     bool adopted(const std::string& name) const;
+    /// The machine type of that name, or nullptr.
     const MachineType* type(const std::string& name) const;
+    /// The known machine types.
     const std::vector<MachineType>& types() const { return types_; }
-    // Images by number: comparing names on every look would cost more than all the rest.
+    /// Images by number: comparing names on every look would cost more than all the rest.
     int image_number(const std::string& image) const;
+    /// Whether the machine is thought to have that image (by number) cached.
     static bool has_image(const Machine& m, int image);
-    // Room left by claimed tasks and by tasks still reported there. A task that has exited takes
-    // none, also while the record of its end is still to be written.
+    /// Room left by claimed tasks and by tasks still reported there. A task that has exited takes
+    /// none, also while the record of its end is still to be written.
     const Resources& room(const Machine& m) const;
-    // What the records say of it: placements, what they take, its mark.
+    /// What the job records say of the machine: placements, what they take, its release mark.
     const Jobs::Site& site(const Machine& m) const;
+    /// Names of machines that must be released even by a controller that cannot write to the
+    /// key-value store: silent ones past the deadline of a cancelled task, and fenced marks.
     std::set<std::string> overdue_and_silent();
-    // Whether new tasks may be claimed on it, as far as this controller knows.
+    /// Whether new tasks may be claimed on it, as far as this controller knows.
     bool usable(const Machine& m) const;
-    // The same of any member's machine, from what all know.
+    /// The same of any controller's machine, from what all controllers know.
     bool in_use(const Machine& m) const;
+    /// The longest boot time of any machine type, in seconds.
     double longest_boot_s() const;
-    // Whether no machine takes two tasks of that size.
+    /// Whether no machine type takes two tasks of that size.
     bool needs_whole_machine(const JobSpec& spec) const;
-    // Answers the open report now, with all commands due.
+    /// Replies to the open heartbeat now, with all commands due.
     void send_heartbeat_reply(Machine& m);
-    // Answers it if there is something to say or nothing to wait for.
+    /// Replies if there is something to say or nothing to wait for; else holds the reply open.
     void reply_if_due(Machine& m);
+    /// Runs reply_if_due over the machines whose heartbeat waits for its reply.
     void reply_to_due_heartbeats();
-    // Asks a task to stop, directly and with every response until it is gone.
+    /// Stops a task with a grace period in seconds: directly, and in every reply until it has
+    /// exited. A later call may only shorten the grace period.
     void stop_task(Machine& m, const Attempt& task, double grace_s);
-    // Marks it for return; the marks of one look are written together.
+    /// Marks the machine for release (`fence`: also for fencing); `why` goes to the record and
+    /// the log. The marks found in one tick are written together.
     void mark_for_release(Machine& m, const std::string& why, bool fence);
-    // A job whose tasks fail is left alone until then.
+    /// A job whose tasks keep failing gets no new claims before this steady time.
     double job_pause_until(const std::string& uid) const;
-    // Machines that jobs submitted since then take whole: the sum, and the sum of their squares.
+    /// Machines that jobs submitted since that wall time take whole: the sum, and the sum of
+    /// their squares.
     std::pair<double, double> whole_machine_arrivals(double since_wall) const;
-    // Jobs submitted since then that may use spot machines.
+    /// Jobs submitted since that wall time that may use spot machines.
     double spot_arrivals(double since_wall) const;
-    // Whether that zone seems to be cut off: nothing new goes there.
+    /// Whether that zone seems partitioned from this controller: nothing new goes there.
     bool zone_partitioned(const std::string& zone) const {
         return partitioned_zones_.count(zone) != 0;
     }
-    // Seconds without a report after which a machine is probed and then fenced.
+    /// Seconds without a heartbeat after which a machine is probed and then fenced.
     double heartbeat_timeout_s() const;
-    // When a task's placement was first seen here.
+    /// Steady time when a task's placement was first seen here (now, if unknown).
     double placed_at(const TaskId& id) const;
+    /// Whether a gang has lost part of its tasks: some placed, none done, not all placed.
     static bool gang_incomplete(const Job& job);
-    // Whether all that is placed there has ended, as far as its owner knows.
+    /// Whether all that is placed there has ended, as far as its owner knows.
     bool vacated(const Machine& m) const;
+    /// Task exits known here, not all of them durable yet.
     const Outcomes& outcomes() const { return outcomes_; }
+    /// The graceful preemption of whole gangs.
     GangPreemption& gang_preemption() { return gang_preemption_; }
+    /// Once the cloud has confirmed the release of that machine, records every task placed there
+    /// as ended ("machine gone").
     void record_exits_of_released(const std::string& machine);
 
   private:
