--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -37,7 +37,7 @@
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
-        (!GangStops::would_save(victim) || victim.stopping() ||
+        (!GangPreemption::would_save(victim) || victim.stopping() ||
          waited < constants::gang_victim_s)) {
         return false;  // all of it would have to be stopped with the one task that is in the way
     }
@@ -65,7 +65,7 @@
             double lost =
                 other->spec.checkpoint_s > 0 ? std::min(ran, other->spec.checkpoint_s) : ran;
             if (other->spec.kind == JobKind::gang && other->spec.tasks > 1) {
-                lost = fleet_.gang_stops().cost_s(*other);
+                lost = fleet_.gang_preemption().cost_s(*other);
             }
             candidates.emplace_back(lost, id, other);
         }
@@ -94,11 +94,11 @@
         return;
     }
     if (victim->spec.kind != JobKind::gang || victim->spec.tasks == 1) {
-        fleet_.stop(m, {id, p->attempt}, 0);
+        fleet_.stop_task(m, {id, p->attempt}, 0);
         return;
     }
     // The room is there only when the gang has saved.
-    fleet_.gang_stops().ask(*victim, "makes room for " + job.spec.uid);
+    fleet_.gang_preemption().request_preemption(*victim, "makes room for " + job.spec.uid);
     double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
     scheduler_.hold(m.name, job.spec, saved + constants::preempt_pause_s);
 }
@@ -137,8 +137,9 @@
 // Whether a task of the block may run on the machine once there is room. Room made for one job
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
-    return m.up() && !m.notice_until && !m.marking && !m.gone && scheduler_.allowed(job, m) &&
-           !fleet_.site(m).mark && !scheduler_.held_for_other(m.name, job.spec.uid) &&
+    return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
+           scheduler_.allowed(job, m) && !fleet_.site(m).mark &&
+           !scheduler_.held_for_other(m.name, job.spec.uid) &&
            Scheduler::spread_room(job, block, m.zone) > 0;
 }
 
@@ -163,7 +164,7 @@
         bool fits = s.each.fits_in(fleet_.room(m));
         bool local = Fleet::has_image(m, image);
         // Most machines are left out by what costs least to see.
-        bool better = m.mine && (!best || local || !best->local);
+        bool better = m.owned_by_us && (!best || local || !best->local);
         if (!(fits || better) || !may_serve(job, block, m)) {
             continue;
         }
