--- a/src/core/accord.cpp
+++ b/src/core/admission_table_sync.cpp
@@ -1,42 +1,43 @@
-#include "core/accord.hpp"
+#include "core/admission_table_sync.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace cranemoor::core {
 
-Accord::Accord(Context& ctx, const Membership& members, const Fleet& fleet)
+AdmissionTableSync::AdmissionTableSync(Context& ctx, const Membership& members, const Fleet& fleet)
     : ctx_(ctx),
-      members_(members),
+      membership_(members),
       fleet_(fleet),
-      writes_({constants::writes_short_s, constants::writes_short_for_s, constants::writes_calm_s,
-               constants::writes_calm_share, constants::writes_calm_for_s}) {}
+      write_scarcity_({constants::writes_short_s, constants::writes_short_for_s,
+                       constants::writes_calm_s, constants::writes_calm_share,
+                       constants::writes_calm_for_s}) {}
 
-void Accord::hear(const std::string& peer, const PressureSample& sample) {
-    heard_[peer] = {sample, ctx_.now.steady};
+void AdmissionTableSync::on_pressure_sample(const std::string& peer, const PressureSample& sample) {
+    samples_by_peer_[peer] = {sample, ctx_.now.steady};
 }
 
-void Accord::tick() {
+void AdmissionTableSync::tick() {
     double t = ctx_.now.steady;
-    if (!ctx_.member || t < next_look_) {
+    if (!ctx_.member || t < next_tick_s_) {
         return;
     }
-    next_look_ = t + constants::accord_every_s;
-    if (t >= next_word_) {
-        next_word_ = t + constants::pressure_word_every_s;
+    next_tick_s_ = t + constants::accord_every_s;
+    if (t >= next_pressure_log_s_) {
+        next_pressure_log_s_ = t + constants::pressure_word_every_s;
         ctx_.info("pressure: {}", ctx_.pressure.take_words(t));
     }
-    if (members_.is_leader() && members_.in_contact() && ctx_.upgraded(level_now)) {
-        lead();
+    if (membership_.is_leader() && membership_.in_contact() && ctx_.upgraded(level_now)) {
+        update_table();
     }
 }
 
-void Accord::lead() {
+void AdmissionTableSync::update_table() {
     double t = ctx_.now.steady;
     PressureSample mine = ctx_.pressure.sample(t);
     double wait = mine.write_wait_s;
     double writes = mine.writes;
-    for (const auto& [name, h] : heard_) {
+    for (const auto& [name, h] : samples_by_peer_) {
         if (t - h.at < constants::peer_message_s) {
             wait = std::max(wait, h.sample.write_wait_s);
             writes += h.sample.writes;
@@ -45,28 +46,28 @@
     const auto& old = ctx_.jobs.table();
     admission::Table next = old.value_or(admission::Table{});
     bool was = next.shared;
-    writes_.set(was);
-    next.shared = writes_.look(t, wait, writes / ctx_.settings.state_write_rps);
+    write_scarcity_.set(was);
+    next.shared = write_scarcity_.look(t, wait, writes / ctx_.settings.state_write_rps);
     if (!next.shared && !was) {
         return;
     }
-    if (next.shared == was && t < next_write_) {
+    if (next.shared == was && t < next_refresh_s_) {
         return;
     }
-    next.parts = parts();
-    if (next.shared != was || differ(next.parts)) {
-        write(std::move(next));
+    next.parts = controller_parts();
+    if (next.shared != was || parts_differ(next.parts)) {
+        write_table(std::move(next));
     }
 }
 
 // By the machines that each member owns: what it can place.
-std::map<std::uint64_t, admission::Part> Accord::parts() const {
+std::map<std::uint64_t, admission::Part> AdmissionTableSync::controller_parts() const {
     std::map<std::uint64_t, int> machines;
     for (const auto& m : ctx_.jobs.epoch()->members) {
         machines[m.id] = 0;
     }
     for (const auto& [name, m] : fleet_.machines()) {
-        const Member* owner = members_.owner(name, m.zone);
+        const Member* owner = membership_.owner(name, m.zone);
         if (owner != nullptr && fleet_.in_use(m)) {
             machines[owner->id]++;
         }
@@ -79,7 +80,8 @@
 }
 
 // Whether the table's parts are so far from what they should be that a write is worth it.
-bool Accord::differ(const std::map<std::uint64_t, admission::Part>& parts) const {
+bool AdmissionTableSync::parts_differ(
+    const std::map<std::uint64_t, admission::Part>& wanted) const {
     const auto& old = ctx_.jobs.table()->parts;
     auto sum = [](const auto& all) {
         double s = 0;
@@ -88,17 +90,17 @@
         }
         return std::max(1.0, s);
     };
-    double now = sum(parts);
+    double now = sum(wanted);
     double then = sum(old);
-    return std::any_of(parts.begin(), parts.end(), [&](const auto& p) {
+    return std::any_of(wanted.begin(), wanted.end(), [&](const auto& p) {
         auto o = old.find(p.first);
         double before = o == old.end() ? 0 : o->second.weight / then;
         return std::abs(p.second.weight / now - before) > constants::parts_step;
     });
 }
 
-void Accord::write(admission::Table next) {
-    if (writing_) {
+void AdmissionTableSync::write_table(admission::Table next) {
+    if (write_in_flight_) {
         return;
     }
     const auto& old = ctx_.jobs.table();
@@ -107,12 +109,13 @@
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition(), {keys::table, ctx_.jobs.revision_of(keys::table)}};
     txn.writes = {{keys::table, encode(next)}};
-    writing_ = true;
-    next_write_ = ctx_.now.steady + constants::table_every_s;
+    write_in_flight_ = true;
+    next_refresh_s_ = ctx_.now.steady + constants::table_every_s;
     ctx_.info("admission table {}: records {}", next.number,
               next.shared ? "shared, writes are short" : "by block again");
-    ctx_.txn(std::move(txn),
-             [this](const StateReply& r) { ctx_.when_settled(r, [this] { writing_ = false; }); });
+    ctx_.txn(std::move(txn), [this](const StateReply& r) {
+        ctx_.when_settled(r, [this] { write_in_flight_ = false; });
+    });
 }
 
 }  // namespace cranemoor::core
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -6,14 +6,14 @@
     : ctx_(std::move(settings), tunables, std::move(boot)),
       members_(ctx_),
       quota_(ctx_),
-      sheets_(ctx_),
-      fleet_(ctx_, members_, quota_, sheets_),
+      batched_claims_(ctx_),
+      fleet_(ctx_, members_, quota_, batched_claims_),
       flows_(ctx_, fleet_),
-      accord_(ctx_, members_, fleet_),
-      scheduler_(ctx_, members_, fleet_, quota_, flows_, sheets_),
+      admission_table_sync_(ctx_, members_, fleet_),
+      scheduler_(ctx_, members_, fleet_, quota_, flows_, batched_claims_),
       preemption_(ctx_, members_, fleet_, scheduler_, quota_, flows_),
       provisioner_(ctx_, members_, fleet_, scheduler_, quota_, flows_),
-      finals_(ctx_, members_),
+      job_completion_(ctx_, members_),
       dependencies_(ctx_, members_),
       requests_(ctx_, members_, fleet_, quota_, dependencies_),
       conversion_(ctx_) {
@@ -51,13 +51,13 @@
         requests_.tick();
         return;
     }
-    accord_.tick();
-    sheets_.tick();
+    admission_table_sync_.tick();
+    batched_claims_.tick();
     flows_.tick();
     conversion_.tick();
     dependencies_.tick();
     fleet_.tick();
-    finals_.tick();
+    job_completion_.tick();
     scheduler_.tick();
     preemption_.tick();
     quota_.tick();
@@ -103,7 +103,7 @@
     members_.peer_message(peer, message.state_contact, heartbeat, message.lease);
     provisioner_.hear(message.rentals);
     if (message.pressure) {
-        accord_.hear(peer, *message.pressure);
+        admission_table_sync_.on_pressure_sample(peer, *message.pressure);
     }
 }
 
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "core/accord.hpp"
+#include "core/admission_table_sync.hpp"
 #include "core/batched_claims.hpp"
 #include "core/context.hpp"
 #include "core/conversion.hpp"
 #include "core/dependencies.hpp"
-#include "core/finals.hpp"
 #include "core/fleet.hpp"
 #include "core/flows.hpp"
+#include "core/job_completion.hpp"
 #include "core/membership.hpp"
 #include "core/preemption.hpp"
 #include "core/provisioner.hpp"
@@ -57,14 +57,14 @@
     Context ctx_;
     Membership members_;
     Quota quota_;
-    BatchedClaims sheets_;
+    BatchedClaims batched_claims_;
     Fleet fleet_;
     Flows flows_;
-    Accord accord_;
+    AdmissionTableSync admission_table_sync_;
     Scheduler scheduler_;
     Preemption preemption_;
     Provisioner provisioner_;
-    Finals finals_;
+    JobCompletion job_completion_;
     Dependencies dependencies_;
     Requests requests_;
     Conversion conversion_;
--- a/src/core/dependencies.cpp
+++ b/src/core/dependencies.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <deque>
 
-#include "core/finals.hpp"
+#include "core/job_completion.hpp"
 
 namespace cranemoor::core {
 
@@ -262,7 +262,7 @@
         }
         ctx_.info("job {}: cancelled, since one that it needs is", uid);
         names.push_back(uid);
-        add_final(ctx_, *job, true, txn);
+        add_final_state_writes(ctx_, *job, true, txn);
         // The next one brings a write and three conditions, and the epoch's comes at last.
         if (txn.writes.size() >= ctx_.ops_max() ||
             txn.conditions.size() + 4 > ctx_.conditions_max()) {
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -348,7 +348,7 @@
 }
 
 void Fleet::record_exit(Machine& m, const TaskStatus& s) {
-    Outcomes::Outcome o;
+    PendingTaskExits::TaskExit o;
     o.attempt = s.attempt;
     o.machine = m.name;
     o.done = s.why == ExitReason::done;
@@ -358,9 +358,9 @@
     if (job == nullptr) {
         return;
     }
-    const Outcomes::Outcome* known = outcomes_.find(*job, s.id.index);
+    const PendingTaskExits::TaskExit* known = pending_exits_.find(*job, s.id.index);
     bool again = known != nullptr && known->attempt == s.attempt;
-    outcomes_.add(s.id, o);
+    pending_exits_.add(s.id, o);
     if (again) {
         return;
     }
@@ -369,7 +369,7 @@
         // and one write tells it.
         job->each_placement([&](int task, const Placement& p) {
             if (p.attempt == s.attempt) {
-                outcomes_.add({s.id.uid, task}, {p.attempt, true, "done", p.machine, false});
+                pending_exits_.add({s.id.uid, task}, {p.attempt, true, "done", p.machine, false});
             }
             return true;
         });
@@ -441,11 +441,11 @@
         bool proof = from_report || m.starts_sent.count(attempt) == 0;
         bool lost_gang = job->spec.kind == JobKind::gang && m.seen_running.count(attempt) != 0;
         if (proof && (lost_gang || !should_start(m, *job))) {
-            Outcomes::Outcome o;
+            PendingTaskExits::TaskExit o;
             o.attempt = p->attempt;
             o.machine = m.name;
             o.why = lost_gang ? "lost" : "not started";
-            outcomes_.add(id, o);
+            pending_exits_.add(id, o);
         }
     }
 }
@@ -504,7 +504,7 @@
                 continue;
             }
             Attempt attempt{id, p->attempt};
-            bool ending = outcomes_.find(*on.job, id.index) != nullptr;
+            bool ending = pending_exits_.find(*on.job, id.index) != nullptr;
             if (m.tasks.count(attempt) != 0 || live.count(id) != 0 || ending) {
                 continue;
             }
@@ -622,7 +622,7 @@
         }
         m.owned_by_us = mine;
         m.adopted = false;
-        outcomes_.forget(name);
+        pending_exits_.forget(name);
         m.starts_sent.clear();
         m.seen_running.clear();
         m.pending_stops.clear();
@@ -913,7 +913,7 @@
         reply_if_due(*m);
     }
     for (const auto& uid : touched) {
-        outcomes_.look_again(uid);
+        pending_exits_.recheck_job(uid);
         const Job* job = ctx_.jobs.find(uid);
         if (job == nullptr) {
             job_failures_.erase(uid);
@@ -940,7 +940,7 @@
         return;
     }
     for (const auto& [id, on] : ctx_.jobs.on_machine(name)) {
-        outcomes_.add(id, {on.place->attempt, false, "machine gone", name, false});
+        pending_exits_.add(id, {on.place->attempt, false, "machine gone", name, false});
     }
 }
 
@@ -951,7 +951,7 @@
         next_sweep_ = ctx_.now.steady + constants::sweep_every_s;
         sweep();
     }
-    outcomes_.flush();
+    pending_exits_.flush();
     reply_to_due_heartbeats();
 }
 
@@ -1032,7 +1032,7 @@
         }
         job.each_placement([&](int task, const Placement& p) {
             Machine* m = find(p.machine);
-            const Outcomes::Outcome* end = outcomes_.find(job, task);
+            const PendingTaskExits::TaskExit* end = pending_exits_.find(job, task);
             bool ended = end != nullptr && end->attempt == p.attempt;
             // Just taken over: what ended there before is known with its first report.
             bool new_here = m != nullptr && !m->adopted && since < last &&
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -14,7 +14,7 @@
 #include "core/context.hpp"
 #include "core/gang_preemption.hpp"
 #include "core/membership.hpp"
-#include "core/outcomes.hpp"
+#include "core/pending_task_exits.hpp"
 #include "core/quota.hpp"
 
 namespace cranemoor::core {
@@ -110,7 +110,7 @@
     Fleet(Context& ctx, Membership& members, const Quota& quota, BatchedClaims& sheets)
         : ctx_(ctx),
           members_(members),
-          outcomes_(ctx, quota, *this, sheets),
+          pending_exits_(ctx, quota, *this, sheets),
           gang_preemption_(ctx) {}
 
     /// Takes in one heartbeat (wire: a worker report) with request id `request`. Replies at once
@@ -198,7 +198,7 @@
     /// Whether all that is placed there has ended, as far as its owner knows.
     bool vacated(const Machine& m) const;
     /// Task exits known here, not all of them durable yet.
-    const Outcomes& outcomes() const { return outcomes_; }
+    const PendingTaskExits& pending_exits() const { return pending_exits_; }
     /// The graceful preemption of whole gangs.
     GangPreemption& gang_preemption() { return gang_preemption_; }
     /// Once the cloud has confirmed the release of that machine, records every task placed there
@@ -256,7 +256,7 @@
 
     Context& ctx_;
     Membership& members_;
-    Outcomes outcomes_;
+    PendingTaskExits pending_exits_;
     GangPreemption gang_preemption_;
     std::map<std::string, Machine> machines_;
     std::vector<Machine*> all_;
--- a/src/core/finals.cpp
+++ b/src/core/job_completion.cpp
@@ -1,4 +1,4 @@
-#include "core/finals.hpp"
+#include "core/job_completion.hpp"
 
 #include <algorithm>
 
@@ -7,7 +7,8 @@
 // Adds a job's final state to a transaction, and the removal of its other blocks as far as there
 // is room for it; returns their keys. The final state takes the place of the first block: one write
 // for a job of one block, and every copy knows it without a read.
-std::vector<std::string> add_final(const Context& ctx, const Job& job, bool cancelled, Txn& txn) {
+std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
+                                                Txn& txn) {
     const auto& uid = job.spec.uid;
     for (auto& condition : ctx.jobs.alive(job)) {
         txn.conditions.push_back(std::move(condition));
@@ -31,10 +32,10 @@
 }
 
 // Ends the jobs that are over: by their final state, and by removing blocks that outlived them.
-// The leading member's.
-void Finals::finish_jobs() {
+// Leader only.
+void JobCompletion::complete_finished_jobs() {
     for (const auto& uid : ctx_.jobs.over()) {
-        if (finishing_.count(uid) != 0) {
+        if (completions_in_flight_.count(uid) != 0) {
             continue;
         }
         const Job& job = ctx_.jobs.jobs().at(uid);
@@ -50,7 +51,7 @@
         if (job.revision != 0 && !job.final) {
             // A cancellation stands even if the last task was done before it could be stopped:
             // its user has been told.
-            add_final(ctx_, job, job.cancelled, txn);
+            add_final_state_writes(ctx_, job, job.cancelled, txn);
         } else {
             auto left = job.other_records();
             if (!job.final && job.first_record().revision != 0) {
@@ -63,9 +64,9 @@
                 }
             }
         }
-        finishing_.insert(uid);
+        completions_in_flight_.insert(uid);
         ctx_.txn(txn, [this, uid = uid](const StateReply& r) {
-            ctx_.when_settled(r, [this, uid] { finishing_.erase(uid); });
+            ctx_.when_settled(r, [this, uid] { completions_in_flight_.erase(uid); });
         });
     }
 }
@@ -73,10 +74,10 @@
 // Final states stay among the watched records, where every controller has them in memory, until
 // there are many; then the oldest are moved to keys of their own, which are read when somebody
 // asks. That costs two writes a job, at a time that is not the rush in which it ended.
-void Finals::move() {
+void JobCompletion::archive_oldest_final_states() {
     auto keep = static_cast<std::size_t>(ctx_.tunables.final_states);
-    if (moving_ || ctx_.jobs.final_states().size() <= keep || !members_.in_contact() ||
-        ctx_.now.steady < next_move_) {
+    if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
+        !membership_.in_contact() || ctx_.now.steady < next_archive_s_) {
         return;
     }
     // All of one record at once, so that it is written once: the oldest job says which.
@@ -124,9 +125,9 @@
     txn.purpose = Txn::Purpose::final;
     txn.conditions.push_back(ctx_.epoch_condition());
     if (gone.empty()) {
-        retire_listings(outgrown, txn);
+        delete_outgrown_listings(outgrown, txn);
         if (txn.writes.empty()) {
-            next_move_ = ctx_.now.steady + constants::retire_every_s;
+            next_archive_s_ = ctx_.now.steady + constants::retire_every_s;
             return;
         }
     }
@@ -150,14 +151,15 @@
         auto value = left.empty() ? std::nullopt : std::optional(encode_listing(std::move(jobs)));
         txn.writes.push_back({key, std::move(value)});
     }
-    moving_ = true;
-    ctx_.txn(txn,
-             [this](const StateReply& r) { ctx_.when_settled(r, [this] { moving_ = false; }); });
+    archive_in_flight_ = true;
+    ctx_.txn(txn, [this](const StateReply& r) {
+        ctx_.when_settled(r, [this] { archive_in_flight_ = false; });
+    });
 }
 
 // A record that lists more jobs than can be put again is removed whole, once all of them are over:
 // their final states stand in their blocks, as long as they are not moved away one by one.
-void Finals::retire_listings(const std::set<std::string>& keys, Txn& txn) const {
+void JobCompletion::delete_outgrown_listings(const std::set<std::string>& keys, Txn& txn) const {
     for (const auto& key : keys) {
         const auto& listing = ctx_.jobs.listings().at(key);
         bool over = std::all_of(listing.begin(), listing.end(), [&](const auto& uid) {
@@ -170,10 +172,10 @@
     }
 }
 
-void Finals::tick() {
-    if (members_.is_leader()) {
-        finish_jobs();
-        move();
+void JobCompletion::tick() {
+    if (membership_.is_leader()) {
+        complete_finished_jobs();
+        archive_oldest_final_states();
     }
 }
 
--- /dev/null
+++ b/src/core/job_completion.hpp
@@ -0,0 +1,45 @@
+// Job completion: the leader writes the final state of jobs whose tasks are all over, deletes the
+// block records that outlived them, and later moves the oldest final states out of the watched
+// records (into `keys::finished`) so that every controller's replica stays small.
+#pragma once
+
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/context.hpp"
+#include "core/membership.hpp"
+
+namespace cranemoor::core {
+
+/// Adds to `txn` the final state of `job` (cancelled or not) in place of its first block record,
+/// and the deletion of its other block records as far as the transaction's operation limit
+/// (`Context::ops_max`) allows, each guarded by a compare-and-swap condition on its revision.
+/// Returns the keys written, the first block's key first.
+std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
+                                                Txn& txn);
+
+/// Ends jobs that are over and archives their final states. Acts only on the leader.
+class JobCompletion {
+  public:
+    /// Reads the replica through `ctx`, and asks `membership` whether this controller leads.
+    JobCompletion(Context& ctx, const Membership& membership)
+        : ctx_(ctx), membership_(membership) {}
+
+    /// One step per controller tick: writes final states, then archives the oldest ones once more
+    /// than `tunables.final_states` are in the watched records.
+    void tick();
+
+  private:
+    void complete_finished_jobs();
+    void archive_oldest_final_states();
+    void delete_outgrown_listings(const std::set<std::string>& keys, Txn& txn) const;
+
+    Context& ctx_;
+    const Membership& membership_;
+    std::set<std::string> completions_in_flight_;  // job uids with a final-state write under way
+    bool archive_in_flight_ = false;  // a move of final states to keys of their own is under way
+    double next_archive_s_ = 0;       // steady time before which no archive pass starts
+};
+
+}  // namespace cranemoor::core
--- a/src/core/outcomes.cpp
+++ b/src/core/pending_task_exits.cpp
@@ -1,10 +1,10 @@
-#include "core/outcomes.hpp"
+#include "core/pending_task_exits.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-#include "core/finals.hpp"
 #include "core/fleet.hpp"
+#include "core/job_completion.hpp"
 
 namespace cranemoor::core {
 
@@ -16,7 +16,7 @@
 }  // namespace
 
 // What is known of a task's end and not written yet.
-const Outcomes::Outcome* Outcomes::find(const Job& job, int task) const {
+const PendingTaskExits::TaskExit* PendingTaskExits::find(const Job& job, int task) const {
     auto pending = pending_.find({job.spec.uid, job.block_of(task)});
     if (pending == pending_.end()) {
         return nullptr;
@@ -25,36 +25,36 @@
     return it == pending->second.tasks.end() ? nullptr : &it->second;
 }
 
-void Outcomes::add(const TaskId& id, const Outcome& outcome) {
+void PendingTaskExits::add(const TaskId& id, const TaskExit& task_exit) {
     const Job* job = ctx_.jobs.find(id.uid);
     if (job == nullptr) {
         return;
     }
-    Pending& pending = pending_[{id.uid, job->block_of(id.index)}];
+    BlockExits& pending = pending_[{id.uid, job->block_of(id.index)}];
     if (pending.tasks.empty()) {
         pending.since = ctx_.now.steady;
     }
     auto it = pending.tasks.find(id.index);
-    if (it != pending.tasks.end() && it->second.attempt == outcome.attempt) {
+    if (it != pending.tasks.end() && it->second.attempt == task_exit.attempt) {
         return;
     }
-    pending.tasks[id.index] = outcome;
-    pending.look = true;
-    ctx_.info("task {} attempt {} on {}: {}", id.text(), outcome.attempt, outcome.machine,
-              outcome.why);
+    pending.tasks[id.index] = task_exit;
+    pending.needs_review = true;
+    ctx_.info("task {} attempt {} on {}: {}", id.text(), task_exit.attempt, task_exit.machine,
+              task_exit.why);
 }
 
-void Outcomes::look_again(const std::string& uid) {
+void PendingTaskExits::recheck_job(const std::string& uid) {
     for (auto it = pending_.lower_bound({uid, 0}); it != pending_.end() && it->first.first == uid;
          ++it) {
-        it->second.look = true;
+        it->second.needs_review = true;
     }
 }
 
 // A proof that a place is empty holds only while this process commands the machine: another
 // owner may start the very claim that was found absent. What could not be written by then must
 // never be, however true it was; the next owner sees for itself.
-void Outcomes::forget(const std::string& machine) {
+void PendingTaskExits::forget(const std::string& machine) {
     for (auto& [key, pending] : pending_) {
         std::erase_if(pending.tasks, [&](const auto& t) { return t.second.machine == machine; });
     }
@@ -64,7 +64,8 @@
 // of several tasks cost one write: they are collected for a while. Nothing waits for them
 // meanwhile: a task that ended leaves its room at once, and the last one here to end writes them
 // all. What must start again, and what a team near its limit gives back, is urgent.
-bool Outcomes::due(const Job& job, const Block& block, const Pending& pending) const {
+bool PendingTaskExits::is_write_due(const Job& job, const Block& block,
+                                    const BlockExits& pending) const {
     bool soon = job.cancelled || batched_claims_.is_batched(job);
     double limit = soon ? constants::outcome_soon_s : constants::outcome_hold_s;
     if (ctx_.now.steady - pending.since >= limit || job.spec.kind == JobKind::gang) {
@@ -96,7 +97,7 @@
 }
 
 // Enters what is known of a block's ends and not written yet.
-void Outcomes::enter(const Job& job, int k, Block& next) const {
+void PendingTaskExits::apply_to_block(const Job& job, int k, Block& next) const {
     auto pending = pending_.find({job.spec.uid, k});
     if (pending == pending_.end()) {
         return;
@@ -118,15 +119,15 @@
     next.fails = some_done ? 0 : next.fails + (some_error ? 1 : 0);
 }
 
-void Outcomes::flush() {
+void PendingTaskExits::flush() {
     if (!ctx_.member) {
         return;
     }
-    std::vector<Which> blocks;
-    std::vector<Which> to_sheet;
+    std::vector<BlockRef> blocks;
+    std::vector<BlockRef> to_sheet;
     bool later = true;  // whether nobody misses any of them
-    for (const auto& ready : look_through()) {
-        if (for_sheet(ready.which)) {
+    for (const auto& ready : collect_due_blocks()) {
+        if (goes_to_batched_record(ready.which)) {
             to_sheet.push_back(ready.which);
         } else {
             later = later && ready.later;
@@ -134,20 +135,20 @@
         }
     }
     write_blocks(blocks, later);
-    write_sheet(to_sheet);
+    write_batched(to_sheet);
 }
 
 // The blocks whose ends are due, in the order in which they are missed.
-std::vector<Outcomes::Ready> Outcomes::look_through() {
-    std::vector<Ready> ready;
-    bool all = ctx_.now.steady >= next_look_;
-    next_look_ = all ? ctx_.now.steady + constants::ends_look_s : next_look_;
+std::vector<PendingTaskExits::DueBlock> PendingTaskExits::collect_due_blocks() {
+    std::vector<DueBlock> ready;
+    bool all = ctx_.now.steady >= next_full_scan_s_;
+    next_full_scan_s_ = all ? ctx_.now.steady + constants::ends_look_s : next_full_scan_s_;
     for (auto it = pending_.begin(); it != pending_.end();) {
         const auto& [uid, k] = it->first;
         auto& pending = it->second;
         auto& tasks = pending.tasks;
         bool waited = all && ctx_.now.steady - pending.since >= constants::outcome_soon_s;
-        if (!pending.look && !waited) {
+        if (!pending.needs_review && !waited) {
             ++it;
             continue;
         }
@@ -155,7 +156,7 @@
         if (job != nullptr && k >= job->block_count()) {
             job = nullptr;  // numbered as before the job was parted: it will be seen again
         }
-        if (job != nullptr && pending.look) {
+        if (job != nullptr && pending.needs_review) {
             // Drop what the records say already.
             const auto& placed = job->block(k).placed;
             std::erase_if(tasks, [&](const auto& t) {
@@ -167,8 +168,8 @@
             it = pending_.erase(it);
             continue;
         }
-        pending.look = false;
-        if (due(*job, job->block(k), pending)) {
+        pending.needs_review = false;
+        if (is_write_due(*job, job->block(k), pending)) {
             bool missed = job->cancelled || job->spec.kind == JobKind::gang ||
                           job->done() + static_cast<int>(tasks.size()) >= job->spec.tasks ||
                           std::any_of(tasks.begin(), tasks.end(),
@@ -177,7 +178,7 @@
         }
         ++it;
     }
-    std::sort(ready.begin(), ready.end(), [](const Ready& a, const Ready& b) {
+    std::sort(ready.begin(), ready.end(), [](const DueBlock& a, const DueBlock& b) {
         return std::tie(a.later, a.since, a.which) < std::tie(b.later, b.since, b.which);
     });
     return ready;
@@ -185,16 +186,16 @@
 
 // Only so many at once: while writes are short they would wait anyway, and what is told meanwhile
 // goes with them.
-void Outcomes::write_blocks(const std::vector<Which>& ready, bool later) {
+void PendingTaskExits::write_blocks(const std::vector<BlockRef>& ready, bool later) {
     Txn txn;
     txn.purpose = Txn::Purpose::end;
     std::vector<std::string> taken;
-    std::vector<Which> written;
+    std::vector<BlockRef> written;
     bool full = false;
     for (const auto& which : ready) {
-        full = full || ends_open_ + written.size() >= constants::ends_open;
-        if (full || !add_ends(which, txn, taken)) {
-            pending_[which].look = true;
+        full = full || blocks_in_flight_ + written.size() >= constants::ends_open;
+        if (full || !add_block_exit_writes(which, txn, taken)) {
+            pending_[which].needs_review = true;
         } else {
             written.push_back(which);
         }
@@ -204,24 +205,24 @@
     }
     txn.urgency = later ? Urgency::last : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
-    ends_open_ += written.size();
+    blocks_in_flight_ += written.size();
     ctx_.txn(std::move(txn), [this, taken, written](const StateReply& r) {
-        ends_open_ -= written.size();
-        settled(r, taken, written);
+        blocks_in_flight_ -= written.size();
+        on_write_settled(r, taken, written);
     });
 }
 
 // Refused or unknown: the next tick tries again. If the first one is executed late, its conditions
 // fail or it says the same.
-void Outcomes::settled(const StateReply& r, const std::vector<std::string>& taken,
-                       const std::vector<Which>& blocks) {
+void PendingTaskExits::on_write_settled(const StateReply& r, const std::vector<std::string>& taken,
+                                        const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(r, [this, taken, blocks] {
         for (const auto& key : taken) {
             ctx_.busy.erase(key);
         }
         for (const auto& which : blocks) {
             if (auto it = pending_.find(which); it != pending_.end()) {
-                it->second.look = true;
+                it->second.needs_review = true;
             }
         }
     });
@@ -229,7 +230,7 @@
 
 // Whether a block's ends are facts that need its record only in time: no failure is to be counted
 // there, and the job is not over with them.
-bool Outcomes::for_sheet(const Which& which) const {
+bool PendingTaskExits::goes_to_batched_record(const BlockRef& which) const {
     const Job& job = *ctx_.jobs.find(which.first);
     const auto& tasks = pending_.at(which).tasks;
     if (!batched_claims_.is_batched(job) || job.block(which.second).fails > 0) {
@@ -243,16 +244,16 @@
 
 // Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
 // but the epoch is a condition of it.
-void Outcomes::write_sheet(const std::vector<Which>& ready) {
+void PendingTaskExits::write_batched(const std::vector<BlockRef>& ready) {
     std::vector<Entry> entries;
     std::vector<std::string> taken;
-    std::vector<Which> written;
+    std::vector<BlockRef> written;
     std::size_t bytes = 0;
-    bool wait = sheet_open_ || ctx_.now.steady < next_sheet_;
+    bool wait = batched_write_in_flight_ || ctx_.now.steady < next_batched_write_s_;
     for (const auto& which : ready) {
         const Job& job = *ctx_.jobs.find(which.first);
         auto key = job.block_key(which.second);
-        Pending& pending = pending_.at(which);
+        BlockExits& pending = pending_.at(which);
         Entry entry;
         entry.uid = which.first;
         entry.block = which.second;
@@ -262,7 +263,7 @@
         std::size_t more = bytes_of(entry);
         if (wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
             ctx_.busy.count(key) != 0) {
-            pending.look = true;
+            pending.needs_review = true;
             continue;
         }
         bytes += more;
@@ -274,16 +275,17 @@
         return;
     }
     ctx_.busy.insert(taken.begin(), taken.end());
-    sheet_open_ = true;
-    next_sheet_ = ctx_.now.steady + constants::sheet_ends_every_s;
+    batched_write_in_flight_ = true;
+    next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
     batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
-        sheet_open_ = false;
-        settled(r, taken, written);
+        batched_write_in_flight_ = false;
+        on_write_settled(r, taken, written);
     });
 }
 
 // Adds the ends of one block's tasks to a transaction, if it takes them now.
-bool Outcomes::add_ends(const Which& which, Txn& txn, std::vector<std::string>& taken) {
+bool PendingTaskExits::add_block_exit_writes(const BlockRef& which, Txn& txn,
+                                             std::vector<std::string>& taken) {
     const auto& [uid, k] = which;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(k);
@@ -292,10 +294,10 @@
     }
     const Block& old = job.block(k);
     Block next = old;
-    enter(job, k, next);
+    apply_to_block(job, k, next);
     int done = job.done() + next.done_count() - old.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
-    // Else finish_jobs does it once the blocks are written.
+    // Else complete_finished_jobs does it once the blocks are written.
     completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
     for (const auto& [other, b] : job.blocks) {
         completes = completes && ctx_.busy.count(job.block_key(other)) == 0;
@@ -311,7 +313,7 @@
     Txn more;
     std::vector<std::string> changed = {key};
     if (completes) {
-        changed = add_final(ctx_, job, false, more);
+        changed = add_final_state_writes(ctx_, job, false, more);
     } else {
         job.add_block(k, next, more);
     }
--- /dev/null
+++ b/src/core/pending_task_exits.hpp
@@ -0,0 +1,87 @@
+// Pending task exits: the exits of tasks that the controller owning their machine has learned of
+// (from heartbeats, or from a machine that was lost), held until they are written into the task's
+// block record, or into a batched record (`BatchedClaims`), by compare-and-swap. Exits of one block
+// are collected for a while so that several cost one write.
+#pragma once
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "core/batched_claims.hpp"
+#include "core/context.hpp"
+#include "core/quota.hpp"
+
+namespace cranemoor::core {
+
+class Fleet;
+
+/// Task exits known to this controller and not yet durable, by job and block.
+class PendingTaskExits {
+  public:
+    /// How one attempt of a task ended.
+    struct TaskExit {
+        std::uint64_t attempt = 0;  // attempt number the exit belongs to
+        bool done = false;          // completed; otherwise the task is lost and must run again
+        std::string why;            // reason, as logged
+        std::string machine;        // name of the machine it ran on
+        bool error = false;         // the task itself failed
+    };
+
+    /// `fleet` tells which machines are owned by this controller; `batched_claims` writes the
+    /// exits of batched jobs.
+    PendingTaskExits(Context& ctx, const Quota& quota, const Fleet& fleet,
+                     BatchedClaims& batched_claims)
+        : ctx_(ctx), quota_(quota), fleet_(fleet), batched_claims_(batched_claims) {}
+
+    /// Records the exit of task `id`. Ignored for an unknown job and for an attempt already held.
+    void add(const TaskId& id, const TaskExit& task_exit);
+    /// The pending exit of task `task` of `job`, or nullptr if none is held.
+    const TaskExit* find(const Job& job, int task) const;
+    /// Drops the exits learned from `machine`, once this controller no longer owns it: the next
+    /// owner must establish them itself.
+    void forget(const std::string& machine);
+    /// Marks every block of job `uid` for review on the next flush, after the job changed.
+    void recheck_job(const std::string& uid);
+    /// Applies the pending exits of block `block` of `job` to `next`, the block record about to be
+    /// written: removes the placements and counts completions and failures.
+    void apply_to_block(const Job& job, int block, Block& next) const;
+    /// Writes the exits that are due. Called once per controller tick while in the membership.
+    void flush();
+
+  private:
+    // Exits of one block's tasks that are not written yet.
+    struct BlockExits {
+        std::map<int, TaskExit> tasks;
+        double since = 0;          // steady time of the oldest
+        bool needs_review = true;  // whether something changed since it was last looked at
+    };
+
+    bool is_write_due(const Job& job, const Block& block, const BlockExits& pending) const;
+    using BlockRef = std::pair<std::string, int>;  // job and block
+    struct DueBlock {
+        bool later = false;  // nobody misses it yet
+        double since = 0;
+        BlockRef which;
+    };
+    std::vector<DueBlock> collect_due_blocks();
+    bool goes_to_batched_record(const BlockRef& which) const;
+    void write_blocks(const std::vector<BlockRef>& ready, bool later);
+    void write_batched(const std::vector<BlockRef>& ready);
+    bool add_block_exit_writes(const BlockRef& which, Txn& txn, std::vector<std::string>& taken);
+    void on_write_settled(const StateReply& reply, const std::vector<std::string>& taken,
+                          const std::vector<BlockRef>& blocks);
+
+    Context& ctx_;
+    const Quota& quota_;
+    const Fleet& fleet_;
+    BatchedClaims& batched_claims_;
+    bool batched_write_in_flight_ = false;
+    double next_batched_write_s_ = 0;  // steady time before which no batched write starts
+    std::map<BlockRef, BlockExits> pending_;
+    double next_full_scan_s_ = 0;       // steady time of the next look at all pending blocks
+    std::size_t blocks_in_flight_ = 0;  // blocks whose ends are on their way to the records
+};
+
+}  // namespace cranemoor::core
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -367,7 +367,7 @@
         // The record is written whole: ends that wait to be told go with it.
         Block next = now;
         if (!shared) {
-            fleet_.outcomes().enter(job, k, next);
+            fleet_.pending_exits().apply_to_block(job, k, next);
         }
         next.attempt++;
         std::size_t bytes = bytes_of(next);
