--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -40,28 +40,28 @@
 }
 
 bool Fleet::adopted(const std::string& name) const {
-    const Machine* m = find(name);
-    return m != nullptr && m->owned_by_us && m->adopted;
+    const Machine* machine = find(name);
+    return machine != nullptr && machine->owned_by_us && machine->adopted;
 }
 
 // The machine of that name, and whether it was unknown so far.
 std::pair<Machine&, bool> Fleet::find_or_add(const std::string& name) {
     auto [it, fresh] = machines_.try_emplace(name);
-    Machine& m = it->second;
+    Machine& machine = it->second;
     if (fresh) {
-        m.name = name;
+        machine.name = name;
         auto before = [](const Machine* a, const Machine* b) { return a->name < b->name; };
-        all_.insert(std::upper_bound(all_.begin(), all_.end(), &m, before), &m);
+        all_.insert(std::upper_bound(all_.begin(), all_.end(), &machine, before), &machine);
     }
-    return {m, fresh};
+    return {machine, fresh};
 }
 
-const Jobs::Site& Fleet::site(const Machine& m) const {
-    if (m.site == nullptr || m.site_of != ctx_.jobs.loads()) {
-        m.site = ctx_.jobs.site(m.name);
-        m.site_of = ctx_.jobs.loads();
+const Jobs::Site& Fleet::site(const Machine& machine) const {
+    if (machine.site == nullptr || machine.site_of != ctx_.jobs.loads()) {
+        machine.site = ctx_.jobs.site(machine.name);
+        machine.site_of = ctx_.jobs.loads();
     }
-    return *m.site;
+    return *machine.site;
 }
 
 const MachineType* Fleet::type(const std::string& name) const {
@@ -75,8 +75,8 @@
 
 void Fleet::set_machine_types(const std::vector<MachineType>& types) {
     types_ = types;
-    for (auto& [name, m] : machines_) {
-        m.room_known = false;
+    for (auto& [name, machine] : machines_) {
+        machine.room_known = false;
     }
 }
 
@@ -86,81 +86,83 @@
     return image_numbers_.try_emplace(image, static_cast<int>(image_numbers_.size())).first->second;
 }
 
-void Fleet::note_image_used(Machine& m, const std::string& image, double gb) {
+void Fleet::note_image_used(Machine& machine, const std::string& image, double gb) {
     int number = image_number(image);
-    std::erase_if(m.cached_images, [&](const auto& i) { return i.first == number; });
-    m.cached_images.insert(m.cached_images.begin(), {number, gb});
-    const MachineType* t = type(m.type);
+    std::erase_if(machine.cached_images,
+                  [&](const CachedImage& cached) { return cached.number == number; });
+    machine.cached_images.insert(machine.cached_images.begin(), {number, gb});
+    const MachineType* t = type(machine.type);
     if (t == nullptr) {
         return;
     }
     // The worker keeps the most recently used images; the estimate drops them the same way.
     double sum = 0;
-    for (auto it = m.cached_images.begin(); it != m.cached_images.end(); ++it) {
-        sum += it->second;
-        if (sum > t->cache_gb && it != m.cached_images.begin()) {
-            m.cached_images.erase(it, m.cached_images.end());
+    for (auto it = machine.cached_images.begin(); it != machine.cached_images.end(); ++it) {
+        sum += it->size_gb;
+        if (sum > t->cache_gb && it != machine.cached_images.begin()) {
+            machine.cached_images.erase(it, machine.cached_images.end());
             break;
         }
     }
 }
 
-bool Fleet::has_image(const Machine& m, int image) {
-    return std::any_of(m.cached_images.begin(), m.cached_images.end(),
-                       [&](const auto& i) { return i.first == image; });
+bool Fleet::has_image(const Machine& machine, int image) {
+    return std::any_of(machine.cached_images.begin(), machine.cached_images.end(),
+                       [&](const CachedImage& cached) { return cached.number == image; });
 }
 
 // --- room ---------------------------------------------------------------------------------
 
-const Resources& Fleet::room(const Machine& m) const {
-    if (m.room_known) {
-        return m.room;
+const Resources& Fleet::room(const Machine& machine) const {
+    if (machine.room_known) {
+        return machine.room;
     }
-    m.room_known = true;
-    m.images_pulling.clear();
-    const MachineType* t = type(m.type);
+    machine.room_known = true;
+    machine.images_pulling.clear();
+    const MachineType* t = type(machine.type);
     if (t == nullptr) {
-        m.room = {};
-        return m.room;
+        machine.room = {};
+        return machine.room;
     }
-    for (const auto& [id, on] : site(m).tasks) {
-        auto status = m.tasks.find({id, on.place->attempt});
-        if (status == m.tasks.end() || status->second.state == TaskState::fetching) {
+    for (const auto& [id, on] : site(machine).tasks) {
+        auto status = machine.tasks.find({id, on.place->attempt});
+        if (status == machine.tasks.end() || status->second.state == TaskState::fetching) {
             int image = image_number(on.job->spec.image);
-            if (std::find(m.images_pulling.begin(), m.images_pulling.end(), image) ==
-                m.images_pulling.end()) {
-                m.images_pulling.push_back(image);
+            if (std::find(machine.images_pulling.begin(), machine.images_pulling.end(), image) ==
+                machine.images_pulling.end()) {
+                machine.images_pulling.push_back(image);
             }
         }
     }
-    m.room = t->size - site(m).used;
-    for (const auto& [attempt, status] : m.tasks) {
-        const Placement* p = ctx_.jobs.placement(attempt.first);
-        bool here = p != nullptr && p->machine == m.name;
+    machine.room = t->size - site(machine).used;
+    for (const auto& [attempt, status] : machine.tasks) {
+        const Placement* p = ctx_.jobs.placement(attempt.task);
+        bool here = p != nullptr && p->machine == machine.name;
         bool exited = status.state == TaskState::exited;
         // A task that runs there without a placement still takes its room until it is stopped.
         bool extra = !here && !exited;
-        bool over = here && exited && p->attempt == attempt.second && m.owned_by_us && m.adopted;
-        const Job* job = extra || over ? ctx_.jobs.find(attempt.first.uid) : nullptr;
+        bool over = here && exited && p->attempt == attempt.number && machine.owned_by_us &&
+                    machine.adopted;
+        const Job* job = extra || over ? ctx_.jobs.find(attempt.task.uid) : nullptr;
         if (job != nullptr) {
-            m.room += job->spec.each * (over ? 1.0 : -1.0);
+            machine.room += job->spec.each * (over ? 1.0 : -1.0);
         }
     }
-    return m.room;
+    return machine.room;
 }
 
-bool Fleet::usable(const Machine& m) const {
+bool Fleet::usable(const Machine& machine) const {
     // A machine that is gone stays known for a moment longer than its mark; a silent one may be
     // gone: neither must be given work.
-    return m.owned_by_us && m.adopted && !m.release_confirmed && !m.interruption_deadline &&
-           ctx_.now.steady >= m.claim_backoff_until &&
-           ctx_.now.steady - m.last_heartbeat_at <= heartbeat_timeout_s() &&
-           !m.release_mark_pending && !site(m).mark && type(m.type) != nullptr;
+    return machine.owned_by_us && machine.adopted && !machine.release_confirmed &&
+           !machine.interruption_deadline && ctx_.now.steady >= machine.claim_backoff_until &&
+           ctx_.now.steady - machine.last_heartbeat_at <= heartbeat_timeout_s() &&
+           !machine.release_mark_pending && !site(machine).mark && type(machine.type) != nullptr;
 }
 
-bool Fleet::in_use(const Machine& m) const {
-    return m.up() && !m.release_confirmed && !m.interruption_deadline &&
-           !zone_partitioned(m.zone) && !site(m).mark;
+bool Fleet::in_use(const Machine& machine) const {
+    return machine.up() && !machine.release_confirmed && !machine.interruption_deadline &&
+           !zone_partitioned(machine.zone) && !site(machine).mark;
 }
 
 double Fleet::longest_boot_s() const {
@@ -235,9 +237,9 @@
         return;
     }
     last_direct_heartbeat_at_ = relayed ? last_direct_heartbeat_at_ : ctx_.now.steady;
-    Machine& m = find_or_add(r.machine).first;
-    if (m.heartbeat_received &&
-        std::tie(r.session, r.seq) <= std::tie(m.agent_epoch, m.heartbeat_seq)) {
+    Machine& machine = find_or_add(r.machine).first;
+    if (machine.heartbeat_received &&
+        std::tie(r.session, r.seq) <= std::tie(machine.agent_epoch, machine.heartbeat_seq)) {
         // A delayed report: its list of tasks is as old as itself.
         WorkerReply reply;
         reply.request = request;
@@ -246,44 +248,44 @@
         ctx_.out.emplace_back(reply);
         return;
     }
-    if (m.open_request) {
+    if (machine.open_request) {
         // The worker gave up on the earlier report; nobody reads its answer.
-        reject_heartbeat(*m.open_request, 503);
-        m.open_request.reset();
+        reject_heartbeat(*machine.open_request, 503);
+        machine.open_request.reset();
     }
-    if (const auto& mark = site(m).mark; mark && mark->gone) {
+    if (const auto& mark = site(machine).mark; mark && mark->gone) {
         reject_heartbeat(request, 503);
         return;
     }
-    apply_heartbeat(m, r);
-    m.last_heartbeat_at = ctx_.now.steady;
-    m.last_heartbeat_relayed = relayed;
-    m.probe_failures = 0;
-    m.open_request = request;
-    m.seen_by_scheduler = false;
-    m.reply_held_open = false;
-    if (!m.awaiting_reply) {
-        m.awaiting_reply = true;
-        awaiting_reply_.push_back(&m);
-    }
-    if (r.token == ctx_.fencing_token && !m.adopted) {
-        m.adopted = true;
-        ctx_.info("machine {}: adopted in session {} with {} tasks", m.name, m.agent_epoch,
-                  m.tasks.size());
-    }
-    if (!m.adopted) {
-        send_heartbeat_reply(m);  // raises its token
+    apply_heartbeat(machine, r);
+    machine.last_heartbeat_at = ctx_.now.steady;
+    machine.last_heartbeat_relayed = relayed;
+    machine.probe_failures = 0;
+    machine.open_request = request;
+    machine.seen_by_scheduler = false;
+    machine.reply_held_open = false;
+    if (!machine.awaiting_reply) {
+        machine.awaiting_reply = true;
+        awaiting_reply_.push_back(&machine);
+    }
+    if (r.token == ctx_.fencing_token && !machine.adopted) {
+        machine.adopted = true;
+        ctx_.info("machine {}: adopted in session {} with {} tasks", machine.name,
+                  machine.agent_epoch, machine.tasks.size());
+    }
+    if (!machine.adopted) {
+        send_heartbeat_reply(machine);  // raises its token
         return;
     }
-    m.reply_deadline = ctx_.now.steady + constants::report_hold_s;
-    reconcile_tasks(m, true);
+    machine.reply_deadline = ctx_.now.steady + constants::report_hold_s;
+    reconcile_tasks(machine, true);
     if (relayed) {
         // Its peer has few connections for relays and waits less long than an answer is kept open
         // for: held, they would fail for hundreds of machines whose owner is cut off from them.
-        send_heartbeat_reply(m);
+        send_heartbeat_reply(machine);
         return;
     }
-    reply_if_due(m);
+    reply_if_due(machine);
 }
 
 // Whether the way between this process and its machines is more likely to be cut than they are to
@@ -297,39 +299,39 @@
            (relayed > mine * constants::relayed_share || t - last_direct_heartbeat_at_ > gap);
 }
 
-void Fleet::apply_heartbeat(Machine& m, const Report& r) {
-    bool first = !m.heartbeat_received;
-    m.room_known = false;
-    m.address = r.address;
-    m.type = r.type;
-    m.zone = r.zone;
-    m.spot = r.spot;
+void Fleet::apply_heartbeat(Machine& machine, const Report& r) {
+    bool first = !machine.heartbeat_received;
+    machine.room_known = false;
+    machine.address = r.address;
+    machine.type = r.type;
+    machine.zone = r.zone;
+    machine.spot = r.spot;
     if (first) {
-        m.launched_at = m.launched_at == 0 ? ctx_.now.steady : m.launched_at;
-        ctx_.info("machine {}: first report, type {} zone {}{}", m.name, m.type, m.zone,
-                  m.spot ? " spot" : "");
-    }
-    if (!m.owned_by_us) {
-        m.owned_by_us = true;
-        m.adopted = false;
-        m.owned_since = ctx_.now.steady;
-    }
-    m.heartbeat_received = true;
-    m.agent_epoch = r.session;
-    m.heartbeat_seq = r.seq;
-    m.fencing_token = r.token;
-    if (r.notice_s && !m.interruption_deadline) {
-        m.interruption_deadline = ctx_.now.steady + *r.notice_s;
-        ctx_.info("machine {}: taken away in {:.1f} s", m.name, *r.notice_s);
-    }
-    m.tasks.clear();
+        machine.launched_at = machine.launched_at == 0 ? ctx_.now.steady : machine.launched_at;
+        ctx_.info("machine {}: first report, type {} zone {}{}", machine.name, machine.type,
+                  machine.zone, machine.spot ? " spot" : "");
+    }
+    if (!machine.owned_by_us) {
+        machine.owned_by_us = true;
+        machine.adopted = false;
+        machine.owned_since = ctx_.now.steady;
+    }
+    machine.heartbeat_received = true;
+    machine.agent_epoch = r.session;
+    machine.heartbeat_seq = r.seq;
+    machine.fencing_token = r.token;
+    if (r.notice_s && !machine.interruption_deadline) {
+        machine.interruption_deadline = ctx_.now.steady + *r.notice_s;
+        ctx_.info("machine {}: taken away in {:.1f} s", machine.name, *r.notice_s);
+    }
+    machine.tasks.clear();
     for (const auto& t : r.tasks) {
-        m.tasks[{t.id, t.attempt}] = t;
+        machine.tasks[{t.id, t.attempt}] = t;
     }
-    for (auto it = m.pending_stops.begin(); it != m.pending_stops.end();) {
-        auto t = m.tasks.find(it->first);
-        bool over = t == m.tasks.end() || t->second.state == TaskState::exited;
-        it = over ? m.pending_stops.erase(it) : std::next(it);
+    for (auto it = machine.pending_stops.begin(); it != machine.pending_stops.end();) {
+        auto t = machine.tasks.find(it->first);
+        bool over = t == machine.tasks.end() || t->second.state == TaskState::exited;
+        it = over ? machine.pending_stops.erase(it) : std::next(it);
     }
 }
 
@@ -342,15 +344,15 @@
     return placed > 0 && job.done() == 0 && placed < job.spec.tasks;
 }
 
-bool Fleet::should_start(const Machine& m, const Job& job) const {
-    return !job.cancelled && !job.final && !site(m).mark && !m.release_mark_pending &&
-           !m.interruption_deadline && !gang_incomplete(job) && !job.stopping();
+bool Fleet::should_start(const Machine& machine, const Job& job) const {
+    return !job.cancelled && !job.final && !site(machine).mark && !machine.release_mark_pending &&
+           !machine.interruption_deadline && !gang_incomplete(job) && !job.stopping();
 }
 
-void Fleet::record_exit(Machine& m, const TaskStatus& s) {
+void Fleet::record_exit(Machine& machine, const TaskStatus& s) {
     PendingTaskExits::TaskExit o;
     o.attempt = s.attempt;
-    o.machine = m.name;
+    o.machine = machine.name;
     o.done = s.why == ExitReason::done;
     o.error = s.why == ExitReason::error || s.why == ExitReason::unknown_task;
     o.why = fmt::format("{}{}", reason_name(s.why), s.saved ? ", saved" : "");
@@ -375,25 +377,25 @@
         });
     }
     if (o.done) {
-        m.failed_jobs.clear();
+        machine.failed_jobs.clear();
     } else if (o.error) {
-        note_task_failure(m, *job);
+        note_task_failure(machine, *job);
     } else if (s.why == ExitReason::no_room || s.why == ExitReason::busy) {
-        m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
+        machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
     }
 }
 
 // A failed task speaks against its machine, until its job has failed elsewhere too. Guards against
 // machines set aside for a job that was submitted with a mistake, however many of its tasks failed
 // there.
-void Fleet::note_task_failure(Machine& m, const Job& job) {
+void Fleet::note_task_failure(Machine& machine, const Job& job) {
     if (!job.doubtful()) {
-        m.failed_jobs.insert(job.spec.uid);
+        machine.failed_jobs.insert(job.spec.uid);
     }
-    if (m.failed_jobs.size() >= constants::machine_errors_max) {
-        mark_for_release(m, "failing tasks", false);
+    if (machine.failed_jobs.size() >= constants::machine_errors_max) {
+        mark_for_release(machine, "failing tasks", false);
     }
-    m.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
+    machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
 }
 
 // Failures are counted in the job's blocks, with the ends that are written anyway: every member
@@ -416,100 +418,101 @@
         pause = std::min(pause * 2, constants::job_backoff_max_s);
     }
     f.not_before = ctx_.now.steady + pause;
-    for (auto& [name, m] : machines_) {
-        m.failed_jobs.erase(uid);
+    for (auto& [name, machine] : machines_) {
+        machine.failed_jobs.erase(uid);
     }
 }
 
-void Fleet::reconcile_tasks(Machine& m, bool from_report) {
-    for (const auto& [id, on] : site(m).tasks) {
+void Fleet::reconcile_tasks(Machine& machine, bool from_report) {
+    for (const auto& [id, on] : site(machine).tasks) {
         const Job* job = on.job;
         const Placement* p = on.place;
         Attempt attempt{id, p->attempt};
-        auto t = m.tasks.find(attempt);
-        if (t != m.tasks.end()) {
+        auto t = machine.tasks.find(attempt);
+        if (t != machine.tasks.end()) {
             if (t->second.state == TaskState::exited) {
-                record_exit(m, t->second);
+                record_exit(machine, t->second);
             } else {
-                m.seen_running.insert(attempt);
-                stop_unwanted(m, *job, id, *p);
+                machine.seen_running.insert(attempt);
+                stop_unwanted(machine, *job, id, *p);
             }
             continue;
         }
         // Absent. Only a report that answers after our last response proves it: a direct
         // command's answer may overtake a start that is still in flight.
-        bool proof = from_report || m.starts_sent.count(attempt) == 0;
-        bool lost_gang = job->spec.kind == JobKind::gang && m.seen_running.count(attempt) != 0;
-        if (proof && (lost_gang || !should_start(m, *job))) {
+        bool proof = from_report || machine.starts_sent.count(attempt) == 0;
+        bool lost_gang =
+            job->spec.kind == JobKind::gang && machine.seen_running.count(attempt) != 0;
+        if (proof && (lost_gang || !should_start(machine, *job))) {
             PendingTaskExits::TaskExit o;
             o.attempt = p->attempt;
-            o.machine = m.name;
+            o.machine = machine.name;
             o.why = lost_gang ? "lost" : "not started";
             pending_exits_.add(id, o);
         }
     }
 }
 
-bool Fleet::vacated(const Machine& m) const {
-    const auto& placed = site(m).tasks;
+bool Fleet::vacated(const Machine& machine) const {
+    const auto& placed = site(machine).tasks;
     return std::all_of(placed.begin(), placed.end(), [&](const auto& t) {
-        auto status = m.tasks.find({t.first, t.second.place->attempt});
-        return status != m.tasks.end() && status->second.state == TaskState::exited;
+        auto status = machine.tasks.find({t.first, t.second.place->attempt});
+        return status != machine.tasks.end() && status->second.state == TaskState::exited;
     });
 }
 
 // --- answers ------------------------------------------------------------------------------
 
-void Fleet::send_heartbeat_reply(Machine& m) {
-    if (!m.open_request) {
+void Fleet::send_heartbeat_reply(Machine& machine) {
+    if (!machine.open_request) {
         return;
     }
     WorkerReply reply;
-    reply.request = *m.open_request;
-    m.open_request.reset();
-    if (!members_.may_answer_workers() || !m.owned_by_us) {
-        reply.status = m.owned_by_us ? 503 : 421;
+    reply.request = *machine.open_request;
+    machine.open_request.reset();
+    if (!members_.may_answer_workers() || !machine.owned_by_us) {
+        reply.status = machine.owned_by_us ? 503 : 421;
         ctx_.out.emplace_back(reply);
         return;
     }
     reply.status = 200;
     reply.token = ctx_.fencing_token;
-    if (m.adopted) {
+    if (machine.adopted) {
         std::set<TaskId> live;
-        for (const auto& [attempt, status] : m.tasks) {
-            const Placement* p = ctx_.jobs.placement(attempt.first);
-            bool ours = p != nullptr && p->machine == m.name && p->attempt == attempt.second;
+        for (const auto& [attempt, status] : machine.tasks) {
+            const Placement* p = ctx_.jobs.placement(attempt.task);
+            bool ours = p != nullptr && p->machine == machine.name && p->attempt == attempt.number;
             if (status.state == TaskState::exited) {
                 if (!ours) {
                     reply.commands.push_back(
-                        {Command::Kind::forget, attempt.first, attempt.second, 0});
-                    m.starts_sent.erase(attempt);
-                    m.seen_running.erase(attempt);
+                        {Command::Kind::forget, attempt.task, attempt.number, 0});
+                    machine.starts_sent.erase(attempt);
+                    machine.seen_running.erase(attempt);
                 }
                 continue;
             }
-            live.insert(attempt.first);
-            auto s = m.pending_stops.find(attempt);
+            live.insert(attempt.task);
+            auto s = machine.pending_stops.find(attempt);
             if (!ours) {
-                reply.commands.push_back({Command::Kind::stop, attempt.first, attempt.second, 0});
-            } else if (s != m.pending_stops.end()) {
+                reply.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, 0});
+            } else if (s != machine.pending_stops.end()) {
                 reply.commands.push_back(
-                    {Command::Kind::stop, attempt.first, attempt.second, s->second.grace_s});
+                    {Command::Kind::stop, attempt.task, attempt.number, s->second.grace_s});
             }
         }
         bool may_start = members_.may_start();
-        for (const auto& [id, on] : site(m).tasks) {
+        for (const auto& [id, on] : site(machine).tasks) {
             const Placement* p = on.place;
-            if (!may_start || !should_start(m, *on.job)) {
+            if (!may_start || !should_start(machine, *on.job)) {
                 continue;
             }
             Attempt attempt{id, p->attempt};
             bool ending = pending_exits_.find(*on.job, id.index) != nullptr;
-            if (m.tasks.count(attempt) != 0 || live.count(id) != 0 || ending) {
+            if (machine.tasks.count(attempt) != 0 || live.count(id) != 0 || ending) {
                 continue;
             }
-            if (m.starts_sent.insert(attempt).second) {
-                ctx_.info("start {} attempt {} on {}", id.text(), p->attempt, m.name);
+            if (machine.starts_sent.insert(attempt).second) {
+                ctx_.info("start {} attempt {} on {}", id.text(), p->attempt, machine.name);
             }
             reply.commands.push_back({Command::Kind::start, id, p->attempt, 0});
         }
@@ -522,83 +525,85 @@
     // can_forget().
     std::size_t kept = 0;
     for (std::size_t i = 0; i < awaiting_reply_.size(); ++i) {
-        Machine* m = awaiting_reply_[i];
-        if (m->open_request && !(m->reply_held_open && ctx_.now.steady < m->reply_deadline)) {
-            reply_if_due(*m);
+        Machine* machine = awaiting_reply_[i];
+        if (machine->open_request &&
+            !(machine->reply_held_open && ctx_.now.steady < machine->reply_deadline)) {
+            reply_if_due(*machine);
         }
-        m->awaiting_reply = m->open_request.has_value();
-        if (m->awaiting_reply) {
-            awaiting_reply_[kept++] = m;
+        machine->awaiting_reply = machine->open_request.has_value();
+        if (machine->awaiting_reply) {
+            awaiting_reply_[kept++] = machine;
         }
     }
     awaiting_reply_.resize(kept);
 }
 
-void Fleet::reply_if_due(Machine& m) {
-    if (!m.open_request) {
+void Fleet::reply_if_due(Machine& machine) {
+    if (!machine.open_request) {
         return;
     }
-    bool late = ctx_.now.steady >= m.reply_deadline;
-    if (!late && m.claims_in_flight > 0) {
+    bool late = ctx_.now.steady >= machine.reply_deadline;
+    if (!late && machine.claims_in_flight > 0) {
         return;
     }
     // Something to say: say it now.
     bool start_due = false;
     bool news = false;  // whether the worker may soon have something to report
-    for (const auto& [id, on] : site(m).tasks) {
-        auto t = m.tasks.find({id, on.place->attempt});
-        start_due = start_due || (t == m.tasks.end() && should_start(m, *on.job));
+    for (const auto& [id, on] : site(machine).tasks) {
+        auto t = machine.tasks.find({id, on.place->attempt});
+        start_due = start_due || (t == machine.tasks.end() && should_start(machine, *on.job));
         news = news || on.job->cancelled || on.job->spec.kind != JobKind::service ||
-               t == m.tasks.end() || t->second.state != TaskState::running;
+               t == machine.tasks.end() || t->second.state != TaskState::running;
     }
     if (start_due && !late && !members_.may_start()) {
         return;  // the next answer of the state service is a moment away
     }
-    bool offer = !start_due && usable(m);
-    if (offer && !late && !m.seen_by_scheduler) {
+    bool offer = !start_due && usable(machine);
+    if (offer && !late && !machine.seen_by_scheduler) {
         return;  // the next round is a moment away
     }
-    news = news || m.tasks.size() > site(m).tasks.size();
-    if (offer && !news && !late && room(m).cpus > Resources::slack) {
+    news = news || machine.tasks.size() > site(machine).tasks.size();
+    if (offer && !news && !late && room(machine).cpus > Resources::slack) {
         // Nothing ends there by itself, so the worker has nothing to report: its answer is kept
         // open for a while, and a job that comes meanwhile starts without waiting for a report.
-        m.reply_deadline = std::max(m.reply_deadline, m.last_heartbeat_at + constants::idle_hold_s);
-        m.reply_held_open = true;
+        machine.reply_deadline =
+            std::max(machine.reply_deadline, machine.last_heartbeat_at + constants::idle_hold_s);
+        machine.reply_held_open = true;
         return;
     }
-    send_heartbeat_reply(m);
+    send_heartbeat_reply(machine);
 }
 
 // --- stops --------------------------------------------------------------------------------
 
-void Fleet::send_stop(Machine& m, const Attempt& task, Machine::PendingStop& s) {
+void Fleet::send_stop(Machine& machine, const Attempt& attempt, Machine::PendingStop& s) {
     s.last_sent_at = ctx_.now.steady;
     OrderCall call;
-    call.machine = m.name;
-    call.address = m.address;
+    call.machine = machine.name;
+    call.address = machine.address;
     call.token = ctx_.fencing_token;
-    call.session = m.agent_epoch;
-    call.commands.push_back({Command::Kind::stop, task.first, task.second, s.grace_s});
+    call.session = machine.agent_epoch;
+    call.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, s.grace_s});
     ctx_.order(call, [](const OrderReply&) {
         // The worker reports the change by itself within half a second.
     });
 }
 
-void Fleet::stop_task(Machine& m, const Attempt& task, double grace_s) {
-    auto [it, first] = m.pending_stops.try_emplace(task);
+void Fleet::stop_task(Machine& machine, const Attempt& attempt, double grace_s) {
+    auto [it, first] = machine.pending_stops.try_emplace(attempt);
     if (!first && it->second.grace_s <= grace_s) {
         return;
     }
     if (first) {
-        ctx_.info("stop {} attempt {} on {}, grace {:.1f} s", task.first.text(), task.second,
-                  m.name, grace_s);
+        ctx_.info("stop {} attempt {} on {}, grace {:.1f} s", attempt.task.text(), attempt.number,
+                  machine.name, grace_s);
         it->second.first_requested_at = ctx_.now.steady;
     }
     it->second.grace_s = grace_s;
-    if (m.adopted && m.heartbeat_received) {
-        send_stop(m, task, it->second);
+    if (machine.adopted && machine.heartbeat_received) {
+        send_stop(machine, attempt, it->second);
         send_heartbeat_reply(
-            m);  // a worker with a report in flight could not tell that the task ended
+            machine);  // a worker with a report in flight could not tell that the task ended
     }
 }
 
@@ -610,25 +615,25 @@
     bool next = before && epoch && epoch->number == before->number + 1 && ctx_.member &&
                 before->has(ctx_.me.id);
     int taken = 0;
-    for (auto& [name, m] : machines_) {
-        bool mine = members_.owned_by_us(name, m.zone);
-        m.room_known = false;
-        if (mine && m.owned_by_us && next) {
+    for (auto& [name, machine] : machines_) {
+        bool mine = members_.owned_by_us(name, machine.zone);
+        machine.room_known = false;
+        if (mine && machine.owned_by_us && next) {
             continue;
         }
-        if (m.open_request && !mine) {
-            m.owned_by_us = false;
-            send_heartbeat_reply(m);
+        if (machine.open_request && !mine) {
+            machine.owned_by_us = false;
+            send_heartbeat_reply(machine);
         }
-        m.owned_by_us = mine;
-        m.adopted = false;
+        machine.owned_by_us = mine;
+        machine.adopted = false;
         pending_exits_.forget(name);
-        m.starts_sent.clear();
-        m.seen_running.clear();
-        m.pending_stops.clear();
+        machine.starts_sent.clear();
+        machine.seen_running.clear();
+        machine.pending_stops.clear();
         if (mine) {
-            m.owned_since = ctx_.now.steady;
-            m.probe_failures = 0;
+            machine.owned_since = ctx_.now.steady;
+            machine.probe_failures = 0;
             ++taken;
             token_raise_queue_.push_back(name);
         }
@@ -642,74 +647,74 @@
 // its other workers and its lease wait. Those that report meanwhile are adopted that way.
 void Fleet::raise_fencing_tokens() {
     for (int i = 0; i < constants::raise_per_tick && !token_raise_queue_.empty(); ++i) {
-        Machine* m = find(token_raise_queue_.front());
+        Machine* machine = find(token_raise_queue_.front());
         token_raise_queue_.pop_front();
-        if (m != nullptr && m->owned_by_us && !m->adopted) {
-            raise_fencing_token(*m, 2);
+        if (machine != nullptr && machine->owned_by_us && !machine->adopted) {
+            raise_fencing_token(*machine, 2);
         }
     }
 }
 
-void Fleet::raise_fencing_token(Machine& m, int tries) {
-    if (m.address.empty() || tries == 0 || site(m).mark) {
+void Fleet::raise_fencing_token(Machine& machine, int tries) {
+    if (machine.address.empty() || tries == 0 || site(machine).mark) {
         return;
     }
     OrderCall call;
-    call.machine = m.name;
-    call.address = m.address;
+    call.machine = machine.name;
+    call.address = machine.address;
     call.token = ctx_.fencing_token;
-    call.session = std::max<std::uint64_t>(m.agent_epoch, 1);
+    call.session = std::max<std::uint64_t>(machine.agent_epoch, 1);
     Token token = ctx_.fencing_token;
-    ctx_.order(call, [this, name = m.name, token, tries](const OrderReply& reply) {
-        Machine* m = find(name);
-        if (m == nullptr || !reply.report || !m->owned_by_us || token != ctx_.fencing_token ||
-            m->adopted) {
+    ctx_.order(call, [this, name = machine.name, token, tries](const OrderReply& reply) {
+        Machine* machine = find(name);
+        if (machine == nullptr || !reply.report || !machine->owned_by_us ||
+            token != ctx_.fencing_token || machine->adopted) {
             return;
         }
         const Report& r = *reply.report;
-        if (m->heartbeat_received &&
-            std::tie(r.session, r.seq) <= std::tie(m->agent_epoch, m->heartbeat_seq)) {
+        if (machine->heartbeat_received &&
+            std::tie(r.session, r.seq) <= std::tie(machine->agent_epoch, machine->heartbeat_seq)) {
             return;
         }
-        apply_heartbeat(*m, r);
+        apply_heartbeat(*machine, r);
         if (r.token == ctx_.fencing_token) {
-            m->adopted = true;
-            m->last_heartbeat_at = ctx_.now.steady;
-            ctx_.info("machine {}: adopted in session {} with {} tasks", name, m->agent_epoch,
-                      m->tasks.size());
-            reconcile_tasks(*m, false);
+            machine->adopted = true;
+            machine->last_heartbeat_at = ctx_.now.steady;
+            ctx_.info("machine {}: adopted in session {} with {} tasks", name, machine->agent_epoch,
+                      machine->tasks.size());
+            reconcile_tasks(*machine, false);
         } else {
-            raise_fencing_token(*m, tries - 1);  // its session was another than we thought
+            raise_fencing_token(*machine, tries - 1);  // its session was another than we thought
         }
     });
 }
 
 void Fleet::apply_cloud_listing(const std::vector<ListedMachine>& list) {
     for (const auto& l : list) {
-        auto [m, fresh] = find_or_add(l.name);
-        m.room_known = m.room_known && m.type == l.type;
+        auto [machine, fresh] = find_or_add(l.name);
+        machine.room_known = machine.room_known && machine.type == l.type;
         // A rental's answer names no address. It may come after the machine's first report.
-        m.address = l.address.empty() ? m.address : l.address;
-        m.type = l.type;
-        m.zone = l.zone;
-        m.spot = l.spot;
-        m.listed = true;
-        m.listed_at = ctx_.now.steady;
-        if (m.listed_state == ListedState::starting || l.state == ListedState::failed) {
-            m.listed_state = l.state;
+        machine.address = l.address.empty() ? machine.address : l.address;
+        machine.type = l.type;
+        machine.zone = l.zone;
+        machine.spot = l.spot;
+        machine.listed = true;
+        machine.listed_at = ctx_.now.steady;
+        if (machine.listed_state == ListedState::starting || l.state == ListedState::failed) {
+            machine.listed_state = l.state;
         }
         if (fresh) {
-            m.launched_at = ctx_.now.steady - l.age_s;
+            machine.launched_at = ctx_.now.steady - l.age_s;
         }
-        if (l.state == ListedState::running && m.running_since < 0) {
-            m.running_since = ctx_.now.steady;
+        if (l.state == ListedState::running && machine.running_since < 0) {
+            machine.running_since = ctx_.now.steady;
         }
-        if (!m.owned_by_us && members_.owned_by_us(m.name, m.zone)) {
-            m.owned_by_us = true;
-            m.adopted = false;
-            m.owned_since = ctx_.now.steady;
+        if (!machine.owned_by_us && members_.owned_by_us(machine.name, machine.zone)) {
+            machine.owned_by_us = true;
+            machine.adopted = false;
+            machine.owned_since = ctx_.now.steady;
             if (l.state == ListedState::running) {
-                token_raise_queue_.push_back(m.name);
+                token_raise_queue_.push_back(machine.name);
             }
         }
     }
@@ -717,15 +722,15 @@
 
 // --- upkeep -------------------------------------------------------------------------------
 
-void Fleet::mark_for_release(Machine& m, const std::string& why, bool fence) {
-    const Mark* old = ctx_.jobs.mark(m.name);
-    if (m.release_mark_pending || !ctx_.member || !members_.in_contact() ||
+void Fleet::mark_for_release(Machine& machine, const std::string& why, bool fence) {
+    const Mark* old = ctx_.jobs.mark(machine.name);
+    if (machine.release_mark_pending || !ctx_.member || !members_.in_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
     }
-    m.release_mark_pending = true;
-    pending_release_marks_[{why, fence}].insert(m.name);
-    ctx_.info("machine {}: to be returned ({})", m.name, why);
+    machine.release_mark_pending = true;
+    pending_release_marks_[{why, fence}].insert(machine.name);
+    ctx_.info("machine {}: to be returned ({})", machine.name, why);
 }
 
 void Fleet::write_release_marks() {
@@ -741,8 +746,8 @@
         ctx_.txn(std::exchange(txn, {}), [this, names](const StateReply& r) {
             ctx_.when_settled(r, [this, names] {
                 for (const auto& name : names) {
-                    if (Machine* m = find(name)) {
-                        m->release_mark_pending = false;
+                    if (Machine* machine = find(name)) {
+                        machine->release_mark_pending = false;
                     }
                 }
             });
@@ -776,39 +781,39 @@
     send();
 }
 
-void Fleet::probe(Machine& m) {
-    if (m.probe_in_flight || m.address.empty()) {
+void Fleet::probe(Machine& machine) {
+    if (machine.probe_in_flight || machine.address.empty()) {
         return;
     }
-    m.probe_in_flight = true;
+    machine.probe_in_flight = true;
     OrderCall call;
-    call.machine = m.name;
-    call.address = m.address;
-    ctx_.order(call, [this, name = m.name](const OrderReply& reply) {
-        Machine* m = find(name);
-        if (m == nullptr) {
+    call.machine = machine.name;
+    call.address = machine.address;
+    ctx_.order(call, [this, name = machine.name](const OrderReply& reply) {
+        Machine* machine = find(name);
+        if (machine == nullptr) {
             return;
         }
-        m->probe_in_flight = false;
+        machine->probe_in_flight = false;
         if (reply.answered) {
             // Alive, but it reports elsewhere or its reports don't get through: the raised
             // token makes it turn away from whoever answers it wrongly.
-            m->probe_failures = 0;
+            machine->probe_failures = 0;
             if (reply.report) {
-                m->agent_epoch = std::max(m->agent_epoch, reply.report->session);
+                machine->agent_epoch = std::max(machine->agent_epoch, reply.report->session);
             }
-            if (m->owned_by_us) {
-                raise_fencing_token(*m, 1);
+            if (machine->owned_by_us) {
+                raise_fencing_token(*machine, 1);
             }
         } else {
-            m->probe_failures++;
+            machine->probe_failures++;
         }
     });
 }
 
 double Fleet::job_pause_until(const std::string& uid) const {
     auto it = job_failures_.find(uid);
-    return it == job_failures_.end() ? -1e9 : it->second.not_before;
+    return it == job_failures_.end() ? never_s : it->second.not_before;
 }
 
 std::pair<double, double> Fleet::whole_machine_arrivals(double since_wall) const {
@@ -861,26 +866,26 @@
 
 // A task that must end: its job was cancelled, its gang lost a part, or is to be stopped whole.
 // Once one of its tasks has ended the gang has saved, or never will.
-void Fleet::stop_unwanted(Machine& m, const Job& job, const TaskId& id, const Placement& p) {
+void Fleet::stop_unwanted(Machine& machine, const Job& job, const TaskId& id, const Placement& p) {
     bool at_once = job.cancelled || gang_incomplete(job);
-    if (!m.owned_by_us || !m.adopted || !(at_once || job.stopping())) {
+    if (!machine.owned_by_us || !machine.adopted || !(at_once || job.stopping())) {
         return;
     }
     Attempt attempt{id, p.attempt};
-    auto t = m.tasks.find(attempt);
-    bool exited = t != m.tasks.end() && t->second.state == TaskState::exited;
+    auto t = machine.tasks.find(attempt);
+    bool exited = t != machine.tasks.end() && t->second.state == TaskState::exited;
     // A start that has gone out but isn't reported yet must be stopped as well.
-    bool there = t != m.tasks.end() || m.starts_sent.count(attempt) != 0;
+    bool there = t != machine.tasks.end() || machine.starts_sent.count(attempt) != 0;
     if (there && !exited) {
-        stop_task(m, attempt, at_once ? 0 : job.spec.save_s);
+        stop_task(machine, attempt, at_once ? 0 : job.spec.save_s);
     }
 }
 
-void Fleet::note_empty(Machine& m) const {
-    if (!site(m).tasks.empty()) {
-        m.empty_since = -1;
-    } else if (m.empty_since < 0) {
-        m.empty_since = ctx_.now.steady;
+void Fleet::note_empty(Machine& machine) const {
+    if (!site(machine).tasks.empty()) {
+        machine.empty_since = -1;
+    } else if (machine.empty_since < 0) {
+        machine.empty_since = ctx_.now.steady;
     }
 }
 
@@ -891,26 +896,26 @@
         if (job == nullptr) {
             continue;
         }
-        auto [m, fresh] = find_or_add(p.machine);
+        auto [machine, fresh] = find_or_add(p.machine);
         if (fresh) {
-            m.zone = p.zone;
-            m.launched_at = ctx_.now.steady;
-            m.owned_by_us = members_.owned_by_us(m.name, m.zone);
-            m.owned_since = ctx_.now.steady;
+            machine.zone = p.zone;
+            machine.launched_at = ctx_.now.steady;
+            machine.owned_by_us = members_.owned_by_us(machine.name, machine.zone);
+            machine.owned_since = ctx_.now.steady;
         }
-        note_image_used(m, job->spec.image, job->spec.image_gb);
+        note_image_used(machine, job->spec.image, job->spec.image_gb);
     }
     for (const auto& name : ctx_.jobs.take_touched_machines()) {
         if (members_.is_leader()) {
             record_exits_of_released(name);
         }
-        Machine* m = find(name);
-        if (m == nullptr) {
+        Machine* machine = find(name);
+        if (machine == nullptr) {
             continue;
         }
-        m->room_known = false;
-        note_empty(*m);
-        reply_if_due(*m);
+        machine->room_known = false;
+        note_empty(*machine);
+        reply_if_due(*machine);
     }
     for (const auto& uid : touched) {
         pending_exits_.recheck_job(uid);
@@ -925,8 +930,8 @@
             continue;  // a job of many thousand tasks changes many times a second
         }
         job->each_placement([&](int task, const Placement& p) {
-            if (Machine* m = find(p.machine)) {
-                stop_unwanted(*m, *job, {uid, task}, p);
+            if (Machine* machine = find(p.machine)) {
+                stop_unwanted(*machine, *job, {uid, task}, p);
             }
             return true;
         });
@@ -968,20 +973,20 @@
     }
     Silence silence = count_silent_machines();
     for (auto it = machines_.begin(); it != machines_.end();) {
-        Machine& m = it->second;
-        if (can_forget(m)) {
-            std::erase(all_, &m);
+        Machine& machine = it->second;
+        if (can_forget(machine)) {
+            std::erase(all_, &machine);
             it = machines_.erase(it);
             continue;
         }
         ++it;
-        note_empty(m);
-        if (ctx_.member && m.owned_by_us) {
-            resend_pending_stops(m);
+        note_empty(machine);
+        if (ctx_.member && machine.owned_by_us) {
+            resend_pending_stops(machine);
         }
-        if (ctx_.member && m.owned_by_us && !site(m).mark) {
-            checkpoint_before_interruption(m);
-            check_liveness(m, silence);
+        if (ctx_.member && machine.owned_by_us && !site(machine).mark) {
+            checkpoint_before_interruption(machine);
+            check_liveness(machine, silence);
         }
     }
 }
@@ -991,8 +996,8 @@
 // Guards against machines released, with all else that ran on them, for ends that only wait to be
 // written: their work then came back and made the wait longer.
 void Fleet::fence_cancelled() {
-    for (Machine* m : machines_with_overdue_cancels()) {
-        mark_for_release(*m, "cancelled task still there", true);
+    for (Machine* machine : machines_with_overdue_cancels()) {
+        mark_for_release(*machine, "cancelled task still there", true);
     }
 }
 
@@ -1000,18 +1005,18 @@
 // with a mark that says so: what must be released even by somebody who can write nothing down.
 std::set<std::string> Fleet::overdue_and_silent() {
     std::set<std::string> names;
-    for (const Machine* m : machines_with_overdue_cancels()) {
+    for (const Machine* machine : machines_with_overdue_cancels()) {
         // Who answers a probe is alive, and only reports to another by now.
-        if (m->probe_failures > 0 &&
-            ctx_.now.steady - std::max(m->last_heartbeat_at, m->owned_since) >
+        if (machine->probe_failures > 0 &&
+            ctx_.now.steady - std::max(machine->last_heartbeat_at, machine->owned_since) >
                 heartbeat_timeout_s()) {
-            names.insert(m->name);
+            names.insert(machine->name);
         }
     }
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
-            const Machine* m = find(name);
-            bool ours = m != nullptr ? m->owned_by_us : members_.is_leader();
+            const Machine* machine = find(name);
+            bool ours = machine != nullptr ? machine->owned_by_us : members_.is_leader();
             if (marks.fence && marks.gone.count(name) == 0 && ours) {
                 names.insert(name);
             }
@@ -1031,14 +1036,14 @@
             continue;
         }
         job.each_placement([&](int task, const Placement& p) {
-            Machine* m = find(p.machine);
+            Machine* machine = find(p.machine);
             const PendingTaskExits::TaskExit* end = pending_exits_.find(job, task);
             bool ended = end != nullptr && end->attempt == p.attempt;
             // Just taken over: what ended there before is known with its first report.
-            bool new_here = m != nullptr && !m->adopted && since < last &&
-                            ctx_.now.steady - m->owned_since < heartbeat_timeout_s();
-            if (m != nullptr && m->owned_by_us && !ended && !new_here) {
-                machines.insert(m);
+            bool new_here = machine != nullptr && !machine->adopted && since < last &&
+                            ctx_.now.steady - machine->owned_since < heartbeat_timeout_s();
+            if (machine != nullptr && machine->owned_by_us && !ended && !new_here) {
+                machines.insert(machine);
             }
             return true;
         });
@@ -1074,23 +1079,24 @@
     Silence silence;
     int relayed = 0;
     std::map<std::string, Silence::Count> zones;
-    for (const auto& [name, m] : machines_) {
-        bool known = m.heartbeat_received || m.running_since >= 0;
-        if (!m.owned_by_us || !known || site(m).mark) {
+    for (const auto& [name, machine] : machines_) {
+        bool known = machine.heartbeat_received || machine.running_since >= 0;
+        if (!machine.owned_by_us || !known || site(machine).mark) {
             continue;
         }
-        bool quiet =
-            ctx_.now.steady - std::max(m.last_heartbeat_at, m.owned_since) > heartbeat_timeout_s();
-        Silence::Count& zone = zones[m.zone];
+        bool quiet = ctx_.now.steady - std::max(machine.last_heartbeat_at, machine.owned_since) >
+                     heartbeat_timeout_s();
+        Silence::Count& zone = zones[machine.zone];
         zone.owned++;
         zone.silent += quiet ? 1 : 0;
-        if (m.heartbeat_received && m.adopted) {
+        if (machine.heartbeat_received && machine.adopted) {
             silence.adopted.owned++;
             silence.adopted.silent += quiet ? 1 : 0;
-            relayed += m.last_heartbeat_relayed &&
-                               ctx_.now.steady - m.last_heartbeat_at < constants::relay_detour_s
-                           ? 1
-                           : 0;
+            relayed +=
+                machine.last_heartbeat_relayed &&
+                        ctx_.now.steady - machine.last_heartbeat_at < constants::relay_detour_s
+                    ? 1
+                    : 0;
         }
     }
     silence.path_cut = partitioned_from_workers(silence.adopted.owned, relayed);
@@ -1104,50 +1110,50 @@
 }
 
 // Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
-bool Fleet::can_forget(Machine& m) const {
-    const auto& mark = site(m).mark;
-    bool placed = !site(m).tasks.empty();
+bool Fleet::can_forget(Machine& machine) const {
+    const auto& mark = site(machine).mark;
+    bool placed = !site(machine).tasks.empty();
     if (mark && mark->gone) {
-        m.release_confirmed = true;
-    } else if (m.release_confirmed && !mark && !m.awaiting_reply) {
+        machine.release_confirmed = true;
+    } else if (machine.release_confirmed && !mark && !machine.awaiting_reply) {
         if (!placed) {
             return true;  // its mark was retired
         }
         // A claim came as late as that: its end must be proved once more.
-        m.release_confirmed = false;
-        m.heartbeat_received = m.adopted = false;
-        m.address.clear();
+        machine.release_confirmed = false;
+        machine.heartbeat_received = machine.adopted = false;
+        machine.address.clear();
     }
-    double heard = std::max(m.last_heartbeat_at, m.owned_since);
-    return !placed && !mark && !m.awaiting_reply &&
+    double heard = std::max(machine.last_heartbeat_at, machine.owned_since);
+    return !placed && !mark && !machine.awaiting_reply &&
            ctx_.now.steady - heard > constants::gone_mark_s &&
-           ctx_.now.steady - m.listed_at > constants::gone_mark_s;
+           ctx_.now.steady - machine.listed_at > constants::gone_mark_s;
 }
 
-void Fleet::resend_pending_stops(Machine& m) {
+void Fleet::resend_pending_stops(Machine& machine) {
     double t = ctx_.now.steady;
-    for (auto& [task, s] : m.pending_stops) {
-        if (m.adopted && t - s.last_sent_at >= constants::stop_repeat_s) {
+    for (auto& [task, s] : machine.pending_stops) {
+        if (machine.adopted && t - s.last_sent_at >= constants::stop_repeat_s) {
             if (s.grace_s > 0 && t - s.first_requested_at > s.grace_s + ctx_.settings.gang_peer_s) {
                 s.grace_s = 0;  // it should have saved by now
             }
-            send_stop(m, task, s);
+            send_stop(machine, task, s);
         }
     }
 }
 
 // Before a machine is taken away, what can save on it does: its progress since the last checkpoint
 // would be lost, and it starts elsewhere the sooner. As late as it may be, since what runs may end.
-void Fleet::checkpoint_before_interruption(Machine& m) {
-    if (!m.interruption_deadline || !m.adopted) {
+void Fleet::checkpoint_before_interruption(Machine& machine) {
+    if (!machine.interruption_deadline || !machine.adopted) {
         return;
     }
-    double left = *m.interruption_deadline - ctx_.now.steady;
-    for (const auto& [id, on] : site(m).tasks) {
+    double left = *machine.interruption_deadline - ctx_.now.steady;
+    for (const auto& [id, on] : site(machine).tasks) {
         const JobSpec& s = on.job->spec;
         Attempt attempt{id, on.place->attempt};
-        auto t = m.tasks.find(attempt);
-        if (s.checkpoint_s <= 0 || s.kind == JobKind::service || t == m.tasks.end() ||
+        auto t = machine.tasks.find(attempt);
+        if (s.checkpoint_s <= 0 || s.kind == JobKind::service || t == machine.tasks.end() ||
             t->second.state != TaskState::running) {
             continue;
         }
@@ -1157,16 +1163,16 @@
             continue;
         }
         if (s.kind == JobKind::array || s.tasks == 1) {
-            stop_task(m, attempt, s.save_s);
+            stop_task(machine, attempt, s.save_s);
         } else if (GangPreemption::would_save(*on.job)) {
             gang_preemption_.request_preemption(*on.job,
-                                                "its machine " + m.name + " is taken away");
+                                                "its machine " + machine.name + " is taken away");
         }
     }
 }
 
 // s without a report after which a machine is fenced.
-double Fleet::fence_after_s(const Machine& m, const Silence& silence) const {
+double Fleet::fence_after_s(const Machine& machine, const Silence& silence) const {
     double limit = heartbeat_timeout_s();
     if (silence.adopted.silent == silence.adopted.owned || silence.path_cut) {
         // Perhaps only the way to it is cut: a worker needs this long to come back by way of
@@ -1178,35 +1184,35 @@
     if (silence.adopted.suspect()) {
         limit = ctx_.settings.lease_s + heartbeat_timeout_s();
     }
-    if (zone_partitioned(m.zone)) {
+    if (zone_partitioned(machine.zone)) {
         // By then every lease there has ended; starting anew costs about a boot.
         limit = std::max(limit, ctx_.settings.cancel_s + longest_boot_s());
     }
     return limit;
 }
 
-void Fleet::check_liveness(Machine& m, const Silence& silence) {
+void Fleet::check_liveness(Machine& machine, const Silence& silence) {
     double t = ctx_.now.steady;
-    double quiet = t - std::max(m.last_heartbeat_at, m.owned_since);
-    bool placed = !site(m).tasks.empty();
-    if (m.listed_state == ListedState::failed) {
-        mark_for_release(m, "failed", true);
-    } else if (placed && m.address.empty() && quiet > constants::unreported_s) {
+    double quiet = t - std::max(machine.last_heartbeat_at, machine.owned_since);
+    bool placed = !site(machine).tasks.empty();
+    if (machine.listed_state == ListedState::failed) {
+        mark_for_release(machine, "failed", true);
+    } else if (placed && machine.address.empty() && quiet > constants::unreported_s) {
         // Placed by a claim on a machine that nobody lists any more: it can't be probed.
-        mark_for_release(m, "unknown", true);
-    } else if (m.heartbeat_received || placed) {
-        double limit = fence_after_s(m, silence);
-        if (quiet > limit && m.probe_failures > 0) {
-            mark_for_release(m, "silent", true);
+        mark_for_release(machine, "unknown", true);
+    } else if (machine.heartbeat_received || placed) {
+        double limit = fence_after_s(machine, silence);
+        if (quiet > limit && machine.probe_failures > 0) {
+            mark_for_release(machine, "silent", true);
         } else if (quiet > limit - constants::order_timeout_s) {
-            probe(m);
+            probe(machine);
         }
-    } else if (m.running_since >= 0 && !zone_partitioned(m.zone) &&
-               t - std::max(m.running_since, m.owned_since) > constants::unreported_s) {
-        mark_for_release(m, "never reported", true);
+    } else if (machine.running_since >= 0 && !zone_partitioned(machine.zone) &&
+               t - std::max(machine.running_since, machine.owned_since) > constants::unreported_s) {
+        mark_for_release(machine, "never reported", true);
     }
-    if (m.interruption_deadline && !placed && m.heartbeat_received) {
-        mark_for_release(m, "taken away soon", false);
+    if (machine.interruption_deadline && !placed && machine.heartbeat_received) {
+        mark_for_release(machine, "taken away soon", false);
     }
 }
 
