--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -206,7 +206,7 @@
     // lease would run out. The report goes over the controllers' own network instead.
     PeerCall call;
     call.peer = owner->name;
-    call.state_contact = members_.in_contact();
+    call.state_contact = membership_.has_store_contact();
     call.relay = r;
     ctx_.peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
         if (!answered || !reply) {
@@ -220,7 +220,7 @@
 }
 
 void Fleet::handle_heartbeat(std::uint64_t request, const Report& r, bool relayed) {
-    if (!members_.may_answer_workers()) {
+    if (!membership_.may_answer_workers()) {
         reject_heartbeat(request, 503);
         return;
     }
@@ -229,7 +229,7 @@
         reject_heartbeat(request, 421);
         return;
     }
-    const Member* owner = members_.owner(r.machine, r.zone);
+    const Member* owner = membership_.owner(r.machine, r.zone);
     if (owner == nullptr || owner->id != ctx_.me.id) {
         redirect_heartbeat(request, r, owner, relayed);
         return;
@@ -467,7 +467,7 @@
     WorkerReply reply;
     reply.request = *m.open_request;
     m.open_request.reset();
-    if (!members_.may_answer_workers() || !m.owned_by_us) {
+    if (!membership_.may_answer_workers() || !m.owned_by_us) {
         reply.status = m.owned_by_us ? 503 : 421;
         ctx_.out.emplace_back(reply);
         return;
@@ -497,7 +497,7 @@
                     {Command::Kind::stop, attempt.first, attempt.second, s->second.grace_s});
             }
         }
-        bool may_start = members_.may_start();
+        bool may_start = membership_.may_start_tasks();
         for (const auto& [id, on] : site(m).tasks) {
             const Placement* p = on.place;
             if (!may_start || !should_start(m, *on.job)) {
@@ -551,7 +551,7 @@
         news = news || on.job->cancelled || on.job->spec.kind != JobKind::service ||
                t == m.tasks.end() || t->second.state != TaskState::running;
     }
-    if (start_due && !late && !members_.may_start()) {
+    if (start_due && !late && !membership_.may_start_tasks()) {
         return;  // the next answer of the state service is a moment away
     }
     bool offer = !start_due && usable(m);
@@ -611,7 +611,7 @@
                 before->has(ctx_.me.id);
     int taken = 0;
     for (auto& [name, m] : machines_) {
-        bool mine = members_.owned_by_us(name, m.zone);
+        bool mine = membership_.owned_by_us(name, m.zone);
         m.room_known = false;
         if (mine && m.owned_by_us && next) {
             continue;
@@ -704,7 +704,7 @@
         if (l.state == ListedState::running && m.running_since < 0) {
             m.running_since = ctx_.now.steady;
         }
-        if (!m.owned_by_us && members_.owned_by_us(m.name, m.zone)) {
+        if (!m.owned_by_us && membership_.owned_by_us(m.name, m.zone)) {
             m.owned_by_us = true;
             m.adopted = false;
             m.owned_since = ctx_.now.steady;
@@ -719,7 +719,7 @@
 
 void Fleet::mark_for_release(Machine& m, const std::string& why, bool fence) {
     const Mark* old = ctx_.jobs.mark(m.name);
-    if (m.release_mark_pending || !ctx_.member || !members_.in_contact() ||
+    if (m.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
     }
@@ -895,13 +895,13 @@
         if (fresh) {
             m.zone = p.zone;
             m.launched_at = ctx_.now.steady;
-            m.owned_by_us = members_.owned_by_us(m.name, m.zone);
+            m.owned_by_us = membership_.owned_by_us(m.name, m.zone);
             m.owned_since = ctx_.now.steady;
         }
         note_image_used(m, job->spec.image, job->spec.image_gb);
     }
     for (const auto& name : ctx_.jobs.take_touched_machines()) {
-        if (members_.is_leader()) {
+        if (membership_.is_leader()) {
             record_exits_of_released(name);
         }
         Machine* m = find(name);
@@ -959,7 +959,7 @@
 void Fleet::sweep() {
     prune_expired();
     fence_cancelled();
-    if (members_.is_leader()) {
+    if (membership_.is_leader()) {
         for (const auto& [key, marks] : ctx_.jobs.marks()) {
             for (const auto& name : marks.gone) {
                 record_exits_of_released(name);  // also of claims that came after the machine's end
@@ -1011,7 +1011,7 @@
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
             const Machine* m = find(name);
-            bool ours = m != nullptr ? m->owned_by_us : members_.is_leader();
+            bool ours = m != nullptr ? m->owned_by_us : membership_.is_leader();
             if (marks.fence && marks.gone.count(name) == 0 && ours) {
                 names.insert(name);
             }
--- a/src/core/agents/fleet.hpp
+++ b/src/core/agents/fleet.hpp
@@ -107,9 +107,9 @@
 class Fleet {
   public:
     /// `ctx`, `members`, `quota` and `sheets` must outlive the Fleet.
-    Fleet(Context& ctx, Membership& members, const Quota& quota, BatchedClaims& sheets)
+    Fleet(Context& ctx, Membership& membership, const Quota& quota, BatchedClaims& sheets)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           pending_exits_(ctx, quota, *this, sheets),
           gang_preemption_(ctx) {}
 
@@ -255,7 +255,7 @@
     void write_release_marks();
 
     Context& ctx_;
-    Membership& members_;
+    Membership& membership_;
     PendingTaskExits pending_exits_;
     GangPreemption gang_preemption_;
     std::map<std::string, Machine> machines_;
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -7,7 +7,7 @@
 
 void Autoscaler::epoch_changed() {
     next_list_ = 0;
-    if (members_.is_leader()) {
+    if (membership_.is_leader()) {
         take_over();
     } else {
         // What they may still bring is the next leading member's: it was told.
@@ -76,7 +76,7 @@
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
-        call.state_contact = members_.in_contact();
+        call.state_contact = membership_.has_store_contact();
         call.rentals = notices;
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
@@ -90,7 +90,7 @@
     double t = ctx_.now.steady;
     if (!list_open_ && t >= next_list_) {
         // As often as the list is renewed, and no more pages than a share of the calls allows.
-        bool leading = members_.is_leader();
+        bool leading = membership_.is_leader();
         double pages = 1 + std::floor(static_cast<double>(fleet_.machines().size()) /
                                       constants::machines_page);
         double calls = ctx_.settings.cloud_rps *
@@ -101,7 +101,7 @@
         list("");
     }
     release_unwritten();
-    if (!members_.is_leader() || !members_.in_contact() || fleet_.types().empty()) {
+    if (!membership_.is_leader() || !membership_.has_store_contact() || fleet_.types().empty()) {
         return;
     }
     release();
@@ -198,12 +198,12 @@
 // contact the machine is found silent, marked and released again, and only that answer is the
 // proof. Only who may still answer its workers does it: others may have taken them over.
 void Autoscaler::release_unwritten() {
-    if (members_.in_contact()) {
+    if (membership_.has_store_contact()) {
         released_unwritten_.clear();
         return;
     }
-    if (releasing_unwritten_ || !members_.may_answer_workers() || members_.peers_have_contact() ||
-        ctx_.now.steady < next_unwritten_) {
+    if (releasing_unwritten_ || !membership_.may_answer_workers() ||
+        membership_.peers_have_store_contact() || ctx_.now.steady < next_unwritten_) {
         return;
     }
     next_unwritten_ = ctx_.now.steady + constants::release_unwritten_s;
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -19,10 +19,10 @@
 
 class Autoscaler {
   public:
-    Autoscaler(Context& ctx, Membership& members, Fleet& fleet, Scheduler& scheduler, Quota& quota,
-               const PendingQueue& flows)
+    Autoscaler(Context& ctx, Membership& membership, Fleet& fleet, Scheduler& scheduler,
+               Quota& quota, const PendingQueue& flows)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           fleet_(fleet),
           scheduler_(scheduler),
           quota_(quota),
@@ -112,7 +112,7 @@
     const MachineType* cheapest(const JobSpec& spec) const;
 
     Context& ctx_;
-    Membership& members_;
+    Membership& membership_;
     Fleet& fleet_;
     Scheduler& scheduler_;
     Quota& quota_;
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -4,20 +4,20 @@
 
 Controller::Controller(Settings settings, Tunables tunables, std::string boot)
     : ctx_(std::move(settings), tunables, std::move(boot)),
-      members_(ctx_),
+      membership_(ctx_),
       quota_(ctx_),
       batched_claims_(ctx_),
-      fleet_(ctx_, members_, quota_, batched_claims_),
+      fleet_(ctx_, membership_, quota_, batched_claims_),
       pending_queue_(ctx_, fleet_),
-      admission_table_sync_(ctx_, members_, fleet_),
-      scheduler_(ctx_, members_, fleet_, quota_, pending_queue_, batched_claims_),
-      preemption_(ctx_, members_, fleet_, scheduler_, quota_, pending_queue_),
-      autoscaler_(ctx_, members_, fleet_, scheduler_, quota_, pending_queue_),
-      job_completion_(ctx_, members_),
-      dependencies_(ctx_, members_),
-      requests_(ctx_, members_, fleet_, quota_, dependencies_),
+      admission_table_sync_(ctx_, membership_, fleet_),
+      scheduler_(ctx_, membership_, fleet_, quota_, pending_queue_, batched_claims_),
+      preemption_(ctx_, membership_, fleet_, scheduler_, quota_, pending_queue_),
+      autoscaler_(ctx_, membership_, fleet_, scheduler_, quota_, pending_queue_),
+      job_completion_(ctx_, membership_),
+      dependencies_(ctx_, membership_),
+      requests_(ctx_, membership_, fleet_, quota_, dependencies_),
       oversized_block_split_(ctx_) {
-    members_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
+    membership_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
         if (epoch_changed) {
             fleet_.epoch_changed(before);
             scheduler_.epoch_changed();
@@ -38,13 +38,13 @@
 
 void Controller::start(Now now) {
     ctx_.now = now;
-    members_.start();
+    membership_.start();
     autoscaler_.tick();
 }
 
 void Controller::tick(Now now) {
     ctx_.now = now;
-    members_.tick();
+    membership_.tick();
     if (!ctx_.whole) {
         // Guards against decisions from half of the records, while they are read anew: blocks of
         // jobs that are still to come would be removed, machines that still run tasks returned.
@@ -88,7 +88,7 @@
 
 bool Controller::healthy(Now now) {
     ctx_.now = now;
-    return members_.healthy() && !fleet_.types().empty();
+    return membership_.healthy() && !fleet_.types().empty();
 }
 
 void Controller::report(Now now, std::uint64_t request, const Report& report, bool relayed) {
@@ -100,7 +100,7 @@
 void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
     ctx_.now = now;
     bool heartbeat = !message.relay && message.rentals.empty();
-    members_.peer_message(peer, message.state_contact, heartbeat, message.lease);
+    membership_.peer_message(peer, message.state_contact, heartbeat, message.lease);
     autoscaler_.hear(message.rentals);
     if (message.pressure) {
         admission_table_sync_.on_pressure_sample(peer, *message.pressure);
@@ -109,16 +109,16 @@
 
 void Controller::state_reply(Now now, std::uint64_t id, const StateReply& reply) {
     ctx_.now = now;
-    members_.on_reply(id, reply);
+    membership_.on_reply(id, reply);
     ctx_.state_reply(id, reply);
-    members_.on_copy_advanced();
+    membership_.on_copy_advanced();
 }
 
 std::vector<Action> Controller::take() {
     auto out = std::exchange(ctx_.out, {});
     for (const auto& action : out) {
         if (const auto* call = std::get_if<StateCall>(&action)) {
-            members_.on_request_sent(*call);
+            membership_.on_request_sent(*call);
         }
     }
     return out;
--- a/src/core/controller/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -49,13 +49,12 @@
 
     std::vector<Action> take();
 
-    bool in_contact() const { return members_.in_contact(); }
     const Context& context() const { return ctx_; }
     Fleet& fleet() { return fleet_; }
 
   private:
     Context ctx_;
-    Membership members_;
+    Membership membership_;
     Quota quota_;
     BatchedClaims batched_claims_;
     Fleet fleet_;
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -125,7 +125,7 @@
 // of the version before, it may be the leading one.
 bool Dependencies::acting() const {
     const auto& epoch = ctx_.jobs.epoch();
-    if (!ctx_.member || !epoch || !members_.in_contact()) {
+    if (!ctx_.member || !epoch || !membership_.has_store_contact()) {
         return false;
     }
     for (const auto& m : epoch->members) {
--- a/src/core/jobs/dependencies.hpp
+++ b/src/core/jobs/dependencies.hpp
@@ -19,9 +19,9 @@
   public:
     enum class End { open, done, cancelled };
 
-    Dependencies(Context& ctx, const Membership& members)
+    Dependencies(Context& ctx, const Membership& membership)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           look_ups_(ctx.settings.state_rps * constants::look_up_share,
                     ctx.settings.state_rps * constants::look_up_share) {}
 
@@ -44,7 +44,7 @@
     void remove_stray_parts();
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     std::map<std::string, std::set<std::string>> waiting_;  // job, and what it still waits for
     std::map<std::string, std::set<std::string>> needed_by_;
     std::set<std::string> look_;     // jobs that wait and may be ready, or cancelled with another
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -77,7 +77,7 @@
 void JobCompletion::archive_oldest_final_states() {
     auto keep = static_cast<std::size_t>(ctx_.tunables.final_states);
     if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
-        !membership_.in_contact() || ctx_.now.steady < next_archive_s_) {
+        !membership_.has_store_contact() || ctx_.now.steady < next_archive_s_) {
         return;
     }
     // All of one record at once, so that it is written once: the oldest job says which.
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -334,9 +334,9 @@
 // Leases are what this process relies on while nobody has contact, as far as it knows. Peers learn
 // of a change at once: some may wait for it to tell users of cancellations.
 void Membership::look_at_leases() {
-    bool relies = !in_contact() && !peers_have_contact();
+    bool relies = !has_store_contact() && !peers_have_store_contact();
     leases_->rely(relies);
-    if (in_contact() != had_contact_ || relies != relied_) {
+    if (has_store_contact() != had_contact_ || relies != relied_) {
         next_beat_ = ctx_.now.steady;
     }
 }
@@ -358,7 +358,7 @@
     const std::string& peer, const std::optional<std::vector<Cancellation>>& known) {
     using Knows = read_leases::Self::Knows;
     read_leases::Self self;
-    self.contact = in_contact();
+    self.contact = has_store_contact();
     // Read since the start, it holds all that the process before told: that was durable first.
     bool read = ctx_.jobs.loaded() && safe_time_.complete_as_of() > -1e9;
     self.knows = read && known ? Knows::all : read_once_ ? Knows::some : Knows::nothing;
@@ -373,8 +373,8 @@
 void Membership::beat() {
     double t = ctx_.now.steady;
     next_beat_ = t + constants::peer_beat_s;
-    had_contact_ = in_contact();
-    relied_ = !had_contact_ && !peers_have_contact();
+    had_contact_ = has_store_contact();
+    relied_ = !had_contact_ && !peers_have_store_contact();
     leases_->begin(t);
     auto known = had_contact_ ? std::nullopt : known_cancellations();
     for (const auto& p : ctx_.settings.peers) {
@@ -418,13 +418,13 @@
     }
 }
 
-bool Membership::peers_have_contact() const {
+bool Membership::peers_have_store_contact() const {
     return std::any_of(heard_.begin(), heard_.end(), [&](const auto& w) {
         return w.second.contact && ctx_.now.steady - w.second.at < constants::peer_message_s;
     });
 }
 
-bool Membership::peers_lack_contact() const {
+bool Membership::peers_lack_store_contact() const {
     // Only a message from every peer tells an outage from a refusal that this process alone meets.
     if (ctx_.settings.peers.empty()) {
         return true;
@@ -448,7 +448,7 @@
     }
     // Refused alone: the sooner its workers move, the sooner their work goes on.
     double lease_time = constants::member_lease_ms / 1000.0;
-    if (silent_s() > lease_time && peers_have_contact()) {
+    if (seconds_without_store() > lease_time && peers_have_store_contact()) {
         return false;
     }
     double limit = ctx_.settings.cancel_s - ctx_.settings.lease_s - constants::cancel_margin_s;
@@ -460,7 +460,7 @@
     return ctx_.now.steady - leases_->known_until(safe_time_.complete_as_of());
 }
 
-bool Membership::may_start() const {
+bool Membership::may_start_tasks() const {
     return unknown_for_s() < constants::start_known_s;
 }
 
@@ -468,7 +468,7 @@
     if (!ctx_.member) {
         return false;
     }
-    return in_contact() || peers_lack_contact();
+    return has_store_contact() || peers_lack_store_contact();
 }
 
 const Member* Membership::owner(const std::string& machine, const std::string& zone) const {
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -40,20 +40,20 @@
     bool is_leader() const;
 
     // Seconds since the state service last answered this process.
-    double silent_s() const { return ctx_.now.steady - last_contact_; }
-    bool in_contact() const { return silent_s() < constants::contact_lost_s; }
+    double seconds_without_store() const { return ctx_.now.steady - last_contact_; }
+    bool has_store_contact() const { return seconds_without_store() < constants::contact_lost_s; }
     // Whether peers say that the state service answers them, although it does not answer us.
-    bool peers_have_contact() const;
-    bool peers_lack_contact() const;
+    bool peers_have_store_contact() const;
+    bool peers_lack_store_contact() const;
     // Rule 8: whether this process may still answer its workers, and so renew their leases.
     bool may_answer_workers() const;
     // Whether a task may be started now: only while every cancellation that users were told of
     // until a moment ago is known here.
-    bool may_start() const;
+    bool may_start_tasks() const;
     // A cancellation that is durable, whatever the copy shows yet.
     void note_cancelled(const std::string& uid, double wall);
     // Whether users may be told of a cancellation; not while a peer relies on being told first.
-    bool may_tell_cancellations() const { return !leases_->promised(ctx_.now.steady); }
+    bool may_confirm_cancellations() const { return !leases_->promised(ctx_.now.steady); }
     bool healthy() const;
 
   private:
--- a/src/core/requests/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -67,7 +67,7 @@
         }
         cancelled = verdict == Dependencies::End::cancelled;
     }
-    if (cancelled && !members_.may_tell_cancellations()) {
+    if (cancelled && !membership_.may_confirm_cancellations()) {
         busy(request, job.spec.uid);
         return;
     }
@@ -206,7 +206,7 @@
 
 void Requests::freshly(std::uint64_t request, const std::string& uid, double wait_s,
                        std::function<void()> then) {
-    if (!ctx_.whole || !members_.in_contact() || !has_room({})) {
+    if (!ctx_.whole || !membership_.has_store_contact() || !has_room({})) {
         busy(request, uid);
         return;
     }
@@ -341,7 +341,7 @@
     std::string why = refusal(spec);
     bool known = ctx_.jobs.find(spec.uid) != nullptr || on_way_.count(spec.uid) != 0;
     if (why.empty() && !known && spec.follows.empty()) {
-        if (!members_.in_contact()) {
+        if (!membership_.has_store_contact()) {
             busy(request, spec.uid);
             return;
         }
@@ -616,7 +616,7 @@
         reply_finished(request, uid, *f, false);
     } else if (job != nullptr && job->cancelled) {
         reply_job(request, 201, *job, false);
-    } else if (a.cancelled && !members_.may_tell_cancellations()) {
+    } else if (a.cancelled && !membership_.may_confirm_cancellations()) {
         busy(request, uid);
     } else {
         reply(request, 201, uid, a.cancelled ? "cancelled" : "queued");
@@ -692,12 +692,12 @@
         if (r.status == StateReply::Status::ok) {
             ctx_.info("job {}: cancelled", uid);
             // Guards against the state service's end just now: the watch may never tell of it.
-            members_.note_cancelled(uid, when);
+            membership_.note_cancelled(uid, when);
         }
         if (!take(request)) {
             return;
         }
-        if (r.status == StateReply::Status::ok && members_.may_tell_cancellations()) {
+        if (r.status == StateReply::Status::ok && membership_.may_confirm_cancellations()) {
             reply(request, 200, uid, "cancelled");
         } else if (r.status == StateReply::Status::conflict) {
             ctx_.when_at(r.revision, [this, request, uid, tries] {
--- a/src/core/requests/requests.hpp
+++ b/src/core/requests/requests.hpp
@@ -24,10 +24,10 @@
 
 class Requests {
   public:
-    Requests(Context& ctx, Membership& members, Fleet& fleet, Quota& quota,
+    Requests(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
              const Dependencies& dependencies)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           fleet_(fleet),
           quota_(quota),
           dependencies_(dependencies),
@@ -111,7 +111,7 @@
     bool take(std::uint64_t request);
 
     Context& ctx_;
-    Membership& members_;
+    Membership& membership_;
     Fleet& fleet_;
     Quota& quota_;
     const Dependencies& dependencies_;
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -5,9 +5,10 @@
 
 namespace cranemoor::core {
 
-AdmissionTableSync::AdmissionTableSync(Context& ctx, const Membership& members, const Fleet& fleet)
+AdmissionTableSync::AdmissionTableSync(Context& ctx, const Membership& membership,
+                                       const Fleet& fleet)
     : ctx_(ctx),
-      membership_(members),
+      membership_(membership),
       fleet_(fleet),
       write_scarcity_({constants::writes_short_s, constants::writes_short_for_s,
                        constants::writes_calm_s, constants::writes_calm_share,
@@ -27,7 +28,7 @@
         next_pressure_log_s_ = t + constants::pressure_word_every_s;
         ctx_.info("pressure: {}", ctx_.overload.take_words(t));
     }
-    if (membership_.is_leader() && membership_.in_contact() && ctx_.upgraded(level_now)) {
+    if (membership_.is_leader() && membership_.has_store_contact() && ctx_.upgraded(level_now)) {
         update_table();
     }
 }
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -17,8 +17,9 @@
 
 class AdmissionTableSync {
   public:
-    /// `members` tells whether this controller leads; `fleet` which machines each controller owns.
-    AdmissionTableSync(Context& ctx, const Membership& members, const Fleet& fleet);
+    /// `membership` tells whether this controller leads; `fleet` which machines each controller
+    /// owns.
+    AdmissionTableSync(Context& ctx, const Membership& membership, const Fleet& fleet);
 
     /// Keeps the latest pressure sample received from controller `peer` (by name).
     void on_pressure_sample(const std::string& peer, const PressureSample& sample);
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -18,10 +18,10 @@
 
 class Preemption {
   public:
-    Preemption(Context& ctx, const Membership& members, Fleet& fleet, Scheduler& scheduler,
+    Preemption(Context& ctx, const Membership& membership, Fleet& fleet, Scheduler& scheduler,
                const Quota& quota, const PendingQueue& flows)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           fleet_(fleet),
           scheduler_(scheduler),
           quota_(quota),
@@ -49,7 +49,7 @@
     bool below_guarantee(const std::string& team, const Resources& more) const;
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     Fleet& fleet_;
     Scheduler& scheduler_;
     const Quota& quota_;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -887,7 +887,7 @@
 }
 
 void Scheduler::tick() {
-    if (!ctx_.member || !members_.in_contact()) {
+    if (!ctx_.member || !membership_.has_store_contact()) {
         return;
     }
     double every = constants::round_every_s * pending_queue_.rarely(constants::round_rarely);
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -23,10 +23,10 @@
 
 class Scheduler {
   public:
-    Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota,
+    Scheduler(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
               const PendingQueue& flows, BatchedClaims& sheets)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           fleet_(fleet),
           quota_(quota),
           pending_queue_(flows),
@@ -157,7 +157,7 @@
     void hold_for(Round& round, const PendingQueue::Waiting& waiting);
 
     Context& ctx_;
-    Membership& members_;
+    Membership& membership_;
     Fleet& fleet_;
     Quota& quota_;
     const PendingQueue& pending_queue_;
