--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -483,7 +483,7 @@
         plan.load[b.zone]++;
     }
     std::vector<const PendingQueue::Waiting*> jobs;
-    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
+    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
         jobs.push_back(&waiting);
         return true;
     });
@@ -554,7 +554,7 @@
     need.spec = &s;
     need.type = &type;
     // Idle work has cheap machines rented for it, ordinary ones only if it may not use others.
-    need.idle_work = Scheduler::idle_work(s);
+    need.idle_work = PlacementConstraints::is_best_effort_spot(s);
     need.only = s.zone;
     if (s.spread || s.together) {
         job.each_placement([&](int, const Placement& p) {
@@ -582,7 +582,7 @@
     const MachineType* t = fleet_.type(b.type);
     bool scraps = need.idle_work && !b.spot && s.each.gpus <= 0 && t != nullptr;
     return type_ok && (!b.spot || s.spot) && (!need.cheap || b.spot || !b.empty) &&
-           s.each.fits_in(scraps ? Scheduler::leftover(*t, b.room) : b.room);
+           s.each.fits_in(scraps ? PlacementConstraints::leftover_room(*t, b.room) : b.room);
 }
 
 std::size_t Autoscaler::next(const Plan& plan, const Need& need, const std::string& zone,
--- /dev/null
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -0,0 +1,119 @@
+#include "core/scheduling/gang_reservations.hpp"
+
+#include <algorithm>
+
+namespace cranemoor::core {
+
+const GangReservations::Reservation* GangReservations::find(const std::string& machine) const {
+    auto found = reservations_.find(machine);
+    bool in_force = found != reservations_.end() && found->second.until >= ctx_.now.steady;
+    return in_force ? &found->second : nullptr;
+}
+
+bool GangReservations::is_reserved_for_other(const std::string& machine,
+                                             const std::string& uid) const {
+    const Reservation* reservation = find(machine);
+    return reservation != nullptr && reservation->uid != uid;
+}
+
+void GangReservations::reserve(const std::string& machine, const JobSpec& spec, double seconds) {
+    reservations_[machine] = {spec.uid, ctx_.now.steady + seconds, spec.priority};
+}
+
+bool GangReservations::may_reserve(SchedulingRound& round,
+                                   const PendingQueue::Waiting& pending) const {
+    if (pending.job->doubtful() || pending.turn != 0) {
+        return false;
+    }
+    // Gangs below their minimum share need whole machines, one after the other would be too few.
+    bool may_be_another = pending.ahead && (is_reserving(pending.uid) ||
+                                            reserving_since_.size() < constants::floor_holds);
+    bool first_of_team = round.teams_reserving.insert(pending.team).second;
+    return first_of_team || may_be_another;
+}
+
+void GangReservations::reserve_for_gang(SchedulingRound& round,
+                                        const PendingQueue::Waiting& pending) {
+    if (!may_reserve(round, pending)) {
+        return;
+    }
+    const JobSpec& spec = pending.job->spec;
+    double since = reserving_since_.try_emplace(spec.uid, ctx_.now.steady).first->second;
+    double elapsed_s = ctx_.now.steady - since;
+    // Of a flow below its minimum share work that runs out must be waited for: while it is short
+    // of room, what others start there takes minutes.
+    double duration_s = pending.ahead ? constants::floor_hold_s : ctx_.tunables.gang_hold_s;
+    if (elapsed_s > duration_s) {
+        if (elapsed_s > duration_s + ctx_.tunables.gang_hold_s) {
+            reserving_since_.erase(spec.uid);
+        }
+        return;
+    }
+    int reserved = count_reserved(spec.uid);
+    if (reserved >= spec.tasks) {
+        return;
+    }
+    for (const Reservable& reservable : reservable_machines(*pending.job)) {
+        if (reserved >= spec.tasks) {
+            break;
+        }
+        ++reserved;
+        const std::string& name = reservable.machine->name;
+        reservations_[name] = {spec.uid, since + duration_s, spec.priority};
+        ctx_.debug("hold {} for gang {}", name, spec.uid);
+    }
+}
+
+int GangReservations::count_reserved(const std::string& uid) const {
+    return static_cast<int>(
+        std::count_if(reservations_.begin(), reservations_.end(), [&](const auto& entry) {
+            return entry.second.uid == uid && entry.second.until >= ctx_.now.steady;
+        }));
+}
+
+bool GangReservations::is_reservable(const Machine& machine, const Job& job) const {
+    const MachineType* type = fleet_.type(machine.type);
+    return machine.owned_by_us && find(machine.name) == nullptr && fleet_.usable(machine) &&
+           type != nullptr && job.spec.each.fits_in(type->size) &&
+           constraints_.allows(job, machine);
+}
+
+// Machines without services, which never end, those that will be empty soonest first.
+std::vector<GangReservations::Reservable> GangReservations::reservable_machines(
+    const Job& job) const {
+    std::vector<Reservable> machines;
+    for (const Machine* machine : fleet_.all()) {
+        if (!is_reservable(*machine, job)) {
+            continue;
+        }
+        double remaining_work_s = 0;
+        bool runs_service = false;
+        for (const auto& [id, placed] : fleet_.site(*machine).tasks) {
+            const JobSpec& spec = placed.job->spec;
+            runs_service = runs_service || spec.kind == JobKind::service;
+            double elapsed_s = ctx_.now.steady - fleet_.placed_at(id);
+            remaining_work_s = std::max(remaining_work_s, spec.estimate_s - elapsed_s);
+        }
+        if (!runs_service) {
+            machines.push_back({remaining_work_s, machine});
+        }
+    }
+    std::stable_sort(machines.begin(), machines.end(),
+                     [](const Reservable& a, const Reservable& b) {
+                         return a.remaining_work_s < b.remaining_work_s;
+                     });
+    return machines;
+}
+
+void GangReservations::on_jobs_placed(const std::set<std::string>& uids) {
+    for (const auto& uid : uids) {
+        reserving_since_.erase(uid);
+    }
+    if (!uids.empty()) {
+        std::erase_if(reservations_, [&](const auto& entry) {
+            return entry.second.until < ctx_.now.steady || uids.count(entry.second.uid) != 0;
+        });
+    }
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -0,0 +1,151 @@
+#include "core/scheduling/machine_scoring.hpp"
+
+#include <algorithm>
+
+namespace cranemoor::core {
+
+namespace {
+// Scores of machines for tasks, see MachineScoring::score. The part of its CPUs that is free, at
+// most 1, is added to the score of a machine in use.
+constexpr double score_of_leftover_room = -1;
+constexpr double score_of_spot = 0;
+constexpr double score_of_ordinary_in_use = 1.5;
+constexpr double score_of_ordinary_empty = 3;
+
+// Scores of machines for gangs.
+constexpr double gang_score_of_other_owner = 2;
+constexpr double gang_score_without_open_heartbeat = 1;
+}  // namespace
+
+double MachineScoring::score(const MachineOffer& offer, const Job& job) const {
+    // Spot machines first for jobs that may use them, machines in use next, and empty ordinary
+    // ones last: those are kept whole for gangs that need one. Work goes to the fullest machine,
+    // so that the others become empty.
+    const Machine& machine = *offer.machine;
+    if (job.spec.kind == JobKind::gang && job.done() == 0) {
+        return machine.spot ? 0 : 1;
+    }
+    if (offer.is_empty && !machine.spot) {
+        return score_of_ordinary_empty;
+    }
+    if (PlacementConstraints::is_best_effort_spot(job.spec) && !machine.spot) {
+        // Room that costs nothing, on machines that are not taken back.
+        return score_of_leftover_room;
+    }
+    const MachineType* type = fleet_.type(machine.type);
+    double free_share =
+        type != nullptr && type->size.cpus > 0 ? offer.room.cpus / type->size.cpus : 0;
+    // A start on a machine whose heartbeat was replied to waits for its next one.
+    double reply_penalty = machine.open_request ? 0 : constants::rank_step;
+    return (machine.spot ? score_of_spot : score_of_ordinary_in_use) + free_share + reply_penalty;
+}
+
+double MachineScoring::score_for_gang(const MachineOffer& offer) {
+    // Our own first, and those whose heartbeat waits for its reply.
+    return (offer.owned_by_us ? 0 : gang_score_of_other_owner) +
+           (offer.machine->open_request ? 0 : gang_score_without_open_heartbeat);
+}
+
+bool MachineScoring::fits_machine_in_use(SchedulingRound& round, const MachineOffer& offer,
+                                         const PendingQueue::Waiting& pending) const {
+    if (!offer.is_empty || offer.machine->spot) {
+        return false;
+    }
+    FleetQuestion question{FleetQuestion::Kind::fits_machine_in_use, pending.demands, 0, 0};
+    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    if (is_new) {
+        answer->second = any_machine_in_use_fits(*pending.job);
+    }
+    return answer->second;
+}
+
+bool MachineScoring::any_machine_in_use_fits(const Job& job) const {
+    const auto& machines = fleet_.all();
+    return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
+        return fleet_.in_use(*machine) && !fleet_.site(*machine).tasks.empty() &&
+               job.spec.each.fits_in(fleet_.room(*machine)) && constraints_.allows(job, *machine);
+    });
+}
+
+bool MachineScoring::fits_spot_machine(SchedulingRound& round, const MachineOffer& offer,
+                                       const PendingQueue::Waiting& pending) const {
+    const JobSpec& spec = pending.job->spec;
+    if (offer.machine->spot || !spec.spot || spec.checkpoint_s <= 0 ||
+        spec.priority > Priority::normal || !offer.is_empty) {
+        return false;
+    }
+    FleetQuestion question{FleetQuestion::Kind::fits_spot_machine, pending.demands, 0, 0};
+    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    if (is_new) {
+        answer->second = any_spot_machine_fits(*pending.job);
+    }
+    return answer->second;
+}
+
+bool MachineScoring::any_spot_machine_fits(const Job& job) const {
+    const auto& machines = fleet_.all();
+    return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
+        const MachineType* type = machine->spot ? fleet_.type(machine->type) : nullptr;
+        if (type == nullptr || machine->interruption_deadline) {
+            return false;
+        }
+        bool is_booting =
+            ctx_.now.steady - machine->launched_at < type->boot_s * constants::boot_late_factor;
+        return (machine->up() || is_booting) && job.spec.each.fits_in(fleet_.room(*machine)) &&
+               !fleet_.site(*machine).mark && constraints_.allows(job, *machine);
+    });
+}
+
+bool MachineScoring::may_find_image(SchedulingRound& round,
+                                    const PendingQueue::Waiting& pending) const {
+    const Job& job = *pending.job;
+    bool is_unstarted_gang = job.spec.kind == JobKind::gang && job.done() == 0;
+    int needed = is_unstarted_gang ? job.spec.tasks : 1;
+    int image = fleet_.image_number(job.spec.image);
+    FleetQuestion question{FleetQuestion::Kind::finds_image, pending.demands, image, needed};
+    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    if (is_new) {
+        answer->second = enough_machines_with_image(job, image, needed);
+    }
+    return answer->second;
+}
+
+bool MachineScoring::enough_machines_with_image(const Job& job, int image, int needed) const {
+    int found = 0;
+    for (const Machine* machine : fleet_.all()) {
+        if (!Fleet::has_image(*machine, image) || fleet_.zone_partitioned(machine->zone) ||
+            fleet_.site(*machine).mark || !constraints_.allows(job, *machine)) {
+            continue;
+        }
+        found += job.spec.each.fits_in(room_within_wait(*machine)) ? 1 : 0;
+        if (found >= needed) {
+            return true;
+        }
+    }
+    return false;
+}
+
+// The room that a machine has, or is expected to have within the wait W.
+Resources MachineScoring::room_within_wait(const Machine& machine) const {
+    Resources room = fleet_.room(machine);
+    for (const auto& [id, placed] : fleet_.site(machine).tasks) {
+        const JobSpec& spec = placed.job->spec;
+        double remaining_s = spec.estimate_s - (ctx_.now.steady - fleet_.placed_at(id));
+        if (spec.kind != JobKind::service && remaining_s < ctx_.tunables.locality_wait_s) {
+            room += spec.each;
+        }
+    }
+    return room;
+}
+
+bool MachineScoring::is_fetch_contended(const MachineOffer& offer, int image) const {
+    auto is_other = [image](int other) { return other != image; };
+    if (std::any_of(offer.images_claimed.begin(), offer.images_claimed.end(), is_other)) {
+        return true;
+    }
+    fleet_.room(*offer.machine);  // brings images_pulling up to date as well
+    const auto& pulling = offer.machine->images_pulling;
+    return std::any_of(pulling.begin(), pulling.end(), is_other);
+}
+
+}  // namespace cranemoor::core
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -100,12 +100,12 @@
     // The room is there only when the gang has saved.
     fleet_.gang_preemption().request_preemption(*victim, "makes room for " + job.spec.uid);
     double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
-    scheduler_.hold(m.name, job.spec, saved + constants::preempt_pause_s);
+    scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preempt_pause_s);
 }
 
 void Preemption::look() {
     int looked = 0;
-    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
+    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
         if (may_look(waiting)) {
             ++looked;
             make_room(waiting);
@@ -138,9 +138,9 @@
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
     return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
-           scheduler_.allowed(job, m) && !fleet_.site(m).mark &&
-           !scheduler_.held_for_other(m.name, job.spec.uid) &&
-           Scheduler::spread_room(job, block, m.zone) > 0;
+           scheduler_.constraints().allows(job, m) && !fleet_.site(m).mark &&
+           !scheduler_.reservations().is_reserved_for_other(m.name, job.spec.uid) &&
+           PlacementConstraints::spread_allowance(job, block, m.zone) > 0;
 }
 
 // Stops what loses least, where it helps the job most.
@@ -192,7 +192,7 @@
         return;
     }
     Machine& m = *best->machine;
-    scheduler_.hold(m.name, s, constants::preempt_pause_s);
+    scheduler_.reservations().reserve(m.name, s, constants::preempt_pause_s);
     ctx_.info("preempt {} tasks on {} for {}", best->tasks.size(), m.name, s.uid);
     for (const auto& id : best->tasks) {
         stop(m, job, id);
--- /dev/null
+++ b/src/core/scheduling/task_claims.cpp
@@ -0,0 +1,196 @@
+#include "core/scheduling/task_claims.hpp"
+
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+
+namespace cranemoor::core {
+
+namespace {
+
+// Walks through the candidates in their order and takes room of them for the tasks of one block.
+class CandidateCursor {
+  public:
+    CandidateCursor(const Job& job, int block, const std::vector<Candidate>& candidates,
+                    const PlacementConstraints& constraints)
+        : job_(job),
+          block_(block),
+          constraints_(constraints),
+          current_(candidates.begin()),
+          end_(candidates.end()) {}
+
+    // The offer for the next task, or nullptr if no candidate takes it. `settled_on` is the offer
+    // of the first task so far, nullptr for none.
+    MachineOffer* next(const MachineOffer* settled_on) {
+        while (current_ != end_ && !takes(*current_->offer, settled_on)) {
+            ++current_;
+        }
+        return current_ == end_ ? nullptr : current_->offer;
+    }
+
+  private:
+    bool takes(const MachineOffer& offer, const MachineOffer* settled_on) {
+        // One claim may see machines of several zones: a job that must stay together has settled on
+        // one with its first task, also with the first of this very claim.
+        const std::string& zone = offer.machine->zone;
+        if (job_.spec.together && settled_on != nullptr && settled_on->machine->zone != zone) {
+            return false;
+        }
+        auto [allowance, is_new] = spread_allowances_.try_emplace(zone, 0);
+        if (is_new) {
+            allowance->second = PlacementConstraints::spread_allowance(job_, block_, zone);
+        }
+        if (allowance->second <= 0 ||
+            !job_.spec.each.fits_in(constraints_.usable_room(offer, job_.spec))) {
+            return false;
+        }
+        --allowance->second;
+        return true;
+    }
+
+    const Job& job_;
+    int block_;
+    const PlacementConstraints& constraints_;
+    std::vector<Candidate>::const_iterator current_;
+    std::vector<Candidate>::const_iterator end_;
+    std::map<std::string, int> spread_allowances_;  // by zone, what the spread rule still allows
+};
+
+}  // namespace
+
+std::vector<std::string> take_offers(const std::vector<TaskPlace>& places, int image) {
+    std::vector<std::string> machines;
+    for (const auto& place : places) {
+        machines.push_back(place.offer->machine->name);
+        place.offer->is_empty = false;
+        place.offer->images_claimed.push_back(image);
+    }
+    return machines;
+}
+
+int TaskClaims::claim(const Job& job, const std::vector<Candidate>& candidates) {
+    const JobSpec& spec = job.spec;
+    std::size_t claimed = 0;
+    for (int block = 0; block < job.block_count(); ++block) {
+        if (!is_claimable(job, block)) {
+            continue;
+        }
+        bool is_batched = batched_claims_.is_batched(job);
+        if (is_batched && claim_writer_.is_batched_full()) {
+            break;  // what is in flight goes first
+        }
+        Block next = next_block(job, block, is_batched);
+        std::vector<TaskPlace> places = choose_places(job, block, next, candidates, claimed);
+        bool to_batched_record = is_batched && places.size() < constants::sheet_claim_tasks &&
+                                 !claim_writer_.is_in_doubt(job.block_key(block));
+        ClaimTarget target =
+            to_batched_record ? ClaimTarget::batched_record : ClaimTarget::block_record;
+        reduce_to_quota(job, target, places);
+        if (places.empty()) {
+            if (!spec.spread) {
+                break;  // no room for one is none for the tasks of the next block
+            }
+            continue;
+        }
+        claimed += places.size();
+        write_claim(job, block, std::move(next), target, places);
+        if (job.page_size > 0 && (spec.spread || spec.together)) {
+            break;  // the next page's places depend on these
+        }
+    }
+    return static_cast<int>(claimed);
+}
+
+// Whether the block has tasks to place that this controller may claim now.
+bool TaskClaims::is_claimable(const Job& job, int block) const {
+    const Block& now = job.block(block);
+    int not_done = job.block_last(block) - job.block_first(block) + 1 - now.done_count();
+    return not_done != static_cast<int>(now.placed.size()) &&
+           ctx_.busy.count(job.block_key(block)) == 0 && batched_claims_.may_claim(job, block);
+}
+
+// The block's record with the number of its next attempt. It is written whole: task exits that are
+// still to be written go with it.
+Block TaskClaims::next_block(const Job& job, int block, bool is_batched) const {
+    Block next = job.block(block);
+    if (!is_batched) {
+        fleet_.pending_exits().apply_to_block(job, block, next);
+    }
+    next.attempt++;
+    return next;
+}
+
+// Places for the block's tasks, in the order of the tasks and of the candidates. Their room is
+// taken from the offers.
+std::vector<TaskPlace> TaskClaims::choose_places(const Job& job, int block, const Block& next,
+                                                 const std::vector<Candidate>& candidates,
+                                                 std::size_t claimed_before) const {
+    const Block& now = job.block(block);
+    const std::size_t machines_max = ctx_.ops_max() * 2;
+    std::size_t bytes = bytes_of(next);
+    std::vector<TaskPlace> places;
+    std::set<MachineOffer*> offers_used;
+    CandidateCursor cursor(job, block, candidates, constraints_);
+    for (int task = job.block_first(block); task <= job.block_last(block); ++task) {
+        if (now.placed.count(task) != 0 || next.is_done(task)) {
+            continue;  // also what has just ended without success: it is placed again later
+        }
+        if (!may_claim_another(job, claimed_before, places.size())) {
+            break;
+        }
+        MachineOffer* offer = cursor.next(places.empty() ? nullptr : places.front().offer);
+        if (offer == nullptr || offers_used.size() > machines_max) {
+            break;
+        }
+        const Machine& machine = *offer->machine;
+        bytes += bytes_of(task, {machine.name, machine.zone, next.attempt, ctx_.me.id});
+        if (bytes > ctx_.value_max()) {
+            break;  // its record takes no more
+        }
+        offer->room -= job.spec.each;
+        offers_used.insert(offer);
+        places.push_back({task, offer});
+    }
+    return places;
+}
+
+// Whether the job may have one more task claimed: less than what would fit, if its team's limit
+// allows only that, and of a doubtful job one task at a time, until one is done.
+bool TaskClaims::may_claim_another(const Job& job, std::size_t claimed_before,
+                                   std::size_t chosen) const {
+    std::size_t others = static_cast<std::size_t>(job.placed()) + claimed_before + chosen;
+    if (job.doubtful() && others > 0) {
+        return false;
+    }
+    return quota_.within_limit(job.spec.team, job.spec.each * static_cast<double>(chosen + 1));
+}
+
+// Gives back places, the last first, until the team's quota covers the others.
+void TaskClaims::reduce_to_quota(const Job& job, ClaimTarget target,
+                                 std::vector<TaskPlace>& places) {
+    const JobSpec& spec = job.spec;
+    while (!places.empty() &&
+           !claim_writer_.cover_quota(target, spec.team,
+                                      spec.each * static_cast<double>(places.size()))) {
+        places.back().offer->room += spec.each;
+        places.pop_back();
+    }
+}
+
+void TaskClaims::write_claim(const Job& job, int block, Block next, ClaimTarget target,
+                             const std::vector<TaskPlace>& places) {
+    for (const auto& place : places) {
+        const Machine& machine = *place.offer->machine;
+        next.placed[place.task] = {machine.name, machine.zone, next.attempt, ctx_.me.id};
+    }
+    auto machines = take_offers(places, fleet_.image_number(job.spec.image));
+    if (target == ClaimTarget::batched_record) {
+        claim_writer_.add_batched_claim(job, block, next, machines);
+    } else {
+        claim_writer_.add_block_claim(job, {{block, std::move(next)}}, machines,
+                                      static_cast<int>(places.size()));
+    }
+}
+
+}  // namespace cranemoor::core
