--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -5,10 +5,10 @@
 
 namespace cranemoor::core {
 
-Scheduler::Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota,
+Scheduler::Scheduler(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
                      const PendingQueue& pending_queue, BatchedClaims& batched_claims)
     : ctx_(ctx),
-      members_(members),
+      membership_(membership),
       fleet_(fleet),
       quota_(quota),
       pending_queue_(pending_queue),
@@ -22,7 +22,7 @@
       task_claims_(ctx, fleet, quota, batched_claims, constraints_, claim_writer_) {}
 
 void Scheduler::tick() {
-    if (!ctx_.member || !members_.in_contact()) {
+    if (!ctx_.member || !membership_.has_store_contact()) {
         return;
     }
     double interval_s = constants::round_every_s * pending_queue_.rarely(constants::round_rarely);
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -30,7 +30,7 @@
 class Scheduler {
   public:
     /// All arguments must outlive the scheduler.
-    Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota,
+    Scheduler(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
               const PendingQueue& pending_queue, BatchedClaims& batched_claims);
 
     /// The membership epoch changed: machines may have changed their owner.
@@ -77,7 +77,7 @@
                     const std::map<int, Block>& blocks);
 
     Context& ctx_;
-    Membership& members_;
+    Membership& membershiphip_;
     Fleet& fleet_;
     Quota& quota_;
     const PendingQueue& pending_queue_;
