--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -77,7 +77,7 @@
                     const std::map<int, Block>& blocks);
 
     Context& ctx_;
-    Membership& membershiphip_;
+    Membership& membership_;
     Fleet& fleet_;
     Quota& quota_;
     const PendingQueue& pending_queue_;
