--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "story.hpp"
+#include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
 namespace {
@@ -69,20 +69,20 @@
     }
 }
 
-TEST_F(Story, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
+TEST_F(ClusterTest, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
     begin();
     auto submit = [&](int number, const std::string& job_class) {
-        auto spec = w.job(number, JobKind::array, 1);
+        auto spec = cluster.make_job(number, JobKind::array, 1);
         spec.job_class = job_class;
-        return w.submit(0, spec);
+        return cluster.submit(0, spec);
     };
     for (std::size_t n = 1; n <= 2 * constants::user_queue_max; ++n) {
         submit(static_cast<int>(n), "sweep");
     }
     auto desk = submit(9000, "desk");
     auto sent_away = submit(9001, "sweep");
-    EXPECT_EQ(w.answer(desk).status, 201);
-    auto later = w.answer(sent_away);
+    EXPECT_EQ(cluster.wait_for_reply(desk).status, 201);
+    auto later = cluster.wait_for_reply(sent_away);
     EXPECT_EQ(later.status, 503);
     EXPECT_GE(later.retry_after_s, 1);
     EXPECT_LE(later.retry_after_s, constants::retry_after_most_s);
--- a/tests/change_test.cpp
+++ b/tests/change_test.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <array>
 
+#include "cluster_fixtures.hpp"
 #include "core/store/records.hpp"
-#include "story.hpp"
 
 namespace cranemoor::test {
 namespace {
@@ -14,123 +14,127 @@
 
 // --- dependent jobs -----------------------------------------------------------------------
 
-struct Chain : Three {
+struct Chain : ThreeControllerTest {
     JobSpec after(int number, const std::vector<int>& others, JobKind kind = JobKind::array,
                   int tasks = 1) {
-        auto spec = w.job(number, kind, tasks);
+        auto spec = cluster.make_job(number, kind, tasks);
         for (int o : others) {
             spec.follows.push_back(uid(o));
         }
         return spec;
     }
-    bool over(int n) { return w.finished(uid(n)); }
+    bool over(int n) { return cluster.is_finished(uid(n)); }
 };
 
 TEST_F(Chain, AJobStartsOnlyWhenAllThatItFollowsAreDone) {
     begin(3);
-    w.run_s = 5;
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1, JobKind::array, 3)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(1, after(2, {1}, JobKind::gang, 2)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(2, after(3, {1, 2})).status, 201);
-    ASSERT_TRUE(w.until([&] { return w.running(uid(1)) == 3; }, 30));
-    EXPECT_EQ(w.poll_and_wait(0, uid(2)).state, "queued");
+    cluster.workers.task_run_s = 5;
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 3)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(1, after(2, {1}, JobKind::gang, 2)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(2, after(3, {1, 2})).status, 201);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3; }, 30));
+    EXPECT_EQ(cluster.poll_and_wait(0, uid(2)).state, "queued");
     // While they wait they claim nothing: their blocks are not there.
-    EXPECT_EQ(w.stored("c/b/" + uid(2) + "/0"), nullptr);
-    ASSERT_TRUE(w.until([&] { return over(3); }, 60));
+    EXPECT_EQ(cluster.store.find("c/b/" + uid(2) + "/0"), nullptr);
+    ASSERT_TRUE(cluster.run_until([&] { return over(3); }, 60));
     EXPECT_TRUE(over(1) && over(2));
     // Submitted when the others are over, it is a job like any other.
-    ASSERT_EQ(w.submit_and_wait(0, after(4, {1, 3})).status, 201);
-    EXPECT_EQ(w.stored("c/j/" + uid(4)), nullptr);
-    EXPECT_TRUE(w.until([&] { return over(4); }, 60));
+    ASSERT_EQ(cluster.submit_and_wait(0, after(4, {1, 3})).status, 201);
+    EXPECT_EQ(cluster.store.find("c/j/" + uid(4)), nullptr);
+    EXPECT_TRUE(cluster.run_until([&] { return over(4); }, 60));
 }
 
 TEST_F(Chain, WhatAJobFollowsIsForgottenByNoRestart) {
     begin(3);
-    w.run_s = 5;
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(1, after(2, {1})).status, 201);
+    cluster.workers.task_run_s = 5;
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(1, after(2, {1})).status, 201);
     for (int i = 0; i < 3; ++i) {
-        w.kill(i);
+        cluster.kill(i);
     }
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    w.run(1);
-    EXPECT_EQ(w.poll_and_wait(2, uid(2)).state, "queued");
-    EXPECT_EQ(w.submit_and_wait(0, after(2, {1})).status, 200);
-    EXPECT_TRUE(w.until([&] { return over(2); }, 60));
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.poll_and_wait(2, uid(2)).state, "queued");
+    EXPECT_EQ(cluster.submit_and_wait(0, after(2, {1})).status, 200);
+    EXPECT_TRUE(cluster.run_until([&] { return over(2); }, 60));
 }
 
 TEST_F(Chain, FollowedJobsMustHaveBeenAccepted) {
-    w.tunables.final_states = 0;  // final states are moved at once, and are in no memory then
+    cluster.tunables.final_states = 0;  // final states are moved at once, and are in no memory then
     begin(3);
-    w.run_s = 1;
-    EXPECT_EQ(w.submit_and_wait(0, after(1, {9})).status, 422);
-    EXPECT_EQ(w.submit_and_wait(0, after(1, {1})).status, 422);  // itself
-    ASSERT_EQ(w.submit_and_wait(0, w.job(2)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(3)).status, 201);
-    ASSERT_TRUE(w.until(
-        [&] { return w.stored("f/" + uid(2)) != nullptr && w.stored("f/" + uid(3)) != nullptr; },
+    cluster.workers.task_run_s = 1;
+    EXPECT_EQ(cluster.submit_and_wait(0, after(1, {9})).status, 422);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(1, {1})).status, 422);  // itself
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(2)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(3)).status, 201);
+    ASSERT_TRUE(cluster.run_until(
+        [&] {
+            return cluster.store.find("f/" + uid(2)) != nullptr &&
+                   cluster.store.find("f/" + uid(3)) != nullptr;
+        },
         60));
     for (int i = 0; i < 3; ++i) {
-        w.kill(i);
+        cluster.kill(i);
     }
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    w.run(1);
-    EXPECT_EQ(w.submit_and_wait(1, after(4, {2, 3})).status, 201);
-    EXPECT_EQ(w.submit_and_wait(1, after(5, {2, 9})).status, 422);
-    EXPECT_EQ(w.submit_and_wait(1, after(4, {9})).status, 200);  // known goes first
-    EXPECT_TRUE(w.until([&] { return over(4); }, 60));
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.submit_and_wait(1, after(4, {2, 3})).status, 201);
+    EXPECT_EQ(cluster.submit_and_wait(1, after(5, {2, 9})).status, 422);
+    EXPECT_EQ(cluster.submit_and_wait(1, after(4, {9})).status, 200);  // known goes first
+    EXPECT_TRUE(cluster.run_until([&] { return over(4); }, 60));
     // What can't be looked up is no reason to refuse for good.
-    w.state_down = true;
-    w.run(0.1);
-    EXPECT_EQ(w.submit_and_wait(2, after(6, {2, 9})).status, 503);
+    cluster.faults.store_down = true;
+    cluster.run_for(0.1);
+    EXPECT_EQ(cluster.submit_and_wait(2, after(6, {2, 9})).status, 503);
 }
 
 TEST_F(Chain, AJobWhoseFollowedOneWasMovedAwayMeanwhileStarts) {
     // Guards against a job that waits for ever: what it follows ends and its final state leaves
     // every memory before the job's record is seen.
-    w.tunables.final_states = 0;
+    cluster.tunables.final_states = 0;
     begin(3);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
-    ASSERT_TRUE(w.until([&] { return w.stored("f/" + uid(1)) != nullptr; }, 60));
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
+    ASSERT_TRUE(
+        cluster.run_until([&] { return cluster.store.find("f/" + uid(1)) != nullptr; }, 60));
     JobRecord late;
     late.spec = after(2, {1});
-    late.submitted_wall = 1.7e9 + w.now;
+    late.submitted_wall = 1.7e9 + cluster.now();
     late.block_size = 34;
     late.waiting = true;
-    w.know(late.spec);
-    w.store("c/j/" + uid(2), encode(late));
-    EXPECT_TRUE(w.until([&] { return over(2); }, 60));
+    cluster.users.add_submitted(late.spec);
+    cluster.store.put("c/j/" + uid(2), encode(late));
+    EXPECT_TRUE(cluster.run_until([&] { return over(2); }, 60));
 }
 
 TEST_F(Chain, ACancellationIsHandedOnToAllThatNeedTheJob) {
     begin(3);
-    w.run_s = 1000;
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1, JobKind::array, 2)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(1, after(2, {1})).status, 201);
-    ASSERT_EQ(w.submit_and_wait(2, after(3, {2})).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(4)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, after(5, {4, 3})).status, 201);
-    ASSERT_TRUE(w.until([&] { return w.running(uid(1)) == 2; }, 30));
-    EXPECT_EQ(w.answer(w.cancel(0, uid(1))).state, "cancelled");
+    cluster.workers.task_run_s = 1000;
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 2)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(1, after(2, {1})).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(2, after(3, {2})).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(4)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, after(5, {4, 3})).status, 201);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 2; }, 30));
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, uid(1))).state, "cancelled");
     // The node that was asked ends before it can hand it on.
-    w.kill(0);
-    ASSERT_TRUE(w.until([&] { return over(2) && over(3) && over(5); }, 15));
+    cluster.kill(0);
+    ASSERT_TRUE(cluster.run_until([&] { return over(2) && over(3) && over(5); }, 15));
     for (int n : {2, 3, 5}) {
-        EXPECT_EQ(w.poll_and_wait(1, uid(n)).state, "cancelled");
+        EXPECT_EQ(cluster.poll_and_wait(1, uid(n)).state, "cancelled");
     }
-    EXPECT_EQ(w.poll_and_wait(1, uid(4)).state, "running");
+    EXPECT_EQ(cluster.poll_and_wait(1, uid(4)).state, "running");
     // Naming a cancelled job is no mistake: accepted, then withdrawn.
-    auto late = w.submit_and_wait(2, after(6, {3, 4}));
+    auto late = cluster.submit_and_wait(2, after(6, {3, 4}));
     EXPECT_EQ(late.status, 201);
     EXPECT_EQ(late.state, "cancelled");
-    EXPECT_TRUE(w.until([&] { return over(6); }, 5));
-    EXPECT_EQ(w.poll_and_wait(1, uid(6)).state, "cancelled");
-    w.run(w.settings.cancel_s + 5);
+    EXPECT_TRUE(cluster.run_until([&] { return over(6); }, 5));
+    EXPECT_EQ(cluster.poll_and_wait(1, uid(6)).state, "cancelled");
+    cluster.run_for(cluster.settings.cancel_s + 5);
     for (int n : {1, 2, 3, 5, 6}) {
-        EXPECT_EQ(w.poll_and_wait(2, uid(n)).state, "cancelled");
-        EXPECT_EQ(w.running(uid(n)), 0);
+        EXPECT_EQ(cluster.poll_and_wait(2, uid(n)).state, "cancelled");
+        EXPECT_EQ(cluster.running_tasks(uid(n)), 0);
     }
 }
 
@@ -138,63 +142,63 @@
     // Everybody was away for longer than a cancellation may take: the first answer of whoever
     // comes back must not call the job queued, although nothing was written for it yet.
     begin(3);
-    w.run_s = 1000;
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, after(2, {1})).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, after(3, {2})).status, 201);
-    auto request = w.cancel(0, uid(1));
-    ASSERT_TRUE(w.until(
+    cluster.workers.task_run_s = 1000;
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, after(2, {1})).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, after(3, {2})).status, 201);
+    auto request = cluster.cancel(0, uid(1));
+    ASSERT_TRUE(cluster.run_until(
         [&] {
-            const Json* block = w.stored("c/b/" + uid(1) + "/0");
+            const Json* block = cluster.store.find("c/b/" + uid(1) + "/0");
             return block != nullptr && block->contains("cancelled");
         },
         2));
-    EXPECT_EQ(w.answer(request, 0.05).state, "cancelled");
+    EXPECT_EQ(cluster.wait_for_reply(request, 0.05).state, "cancelled");
     for (int i = 0; i < 3; ++i) {
-        w.kill(i);
+        cluster.kill(i);
     }
     ASSERT_FALSE(over(3));
-    w.run(w.settings.cancel_s + 1);
-    w.start(1);
+    cluster.run_for(cluster.settings.cancel_s + 1);
+    cluster.start(1);
     for (int i = 0; i < 400 && !over(3); ++i) {
-        w.poll(1, uid(3));  // the rule is checked with each answer
-        w.poll(1, uid(2));
-        w.run(0.01);
+        cluster.poll(1, uid(3));  // the rule is checked with each answer
+        cluster.poll(1, uid(2));
+        cluster.run_for(0.01);
     }
     EXPECT_TRUE(over(2) && over(3));
 }
 
 TEST_F(Chain, ACancellationThatComesTooLateStopsNothing) {
     begin(3);
-    w.run_s = 2;
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
+    cluster.workers.task_run_s = 2;
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
     auto last = after(2, {1}, JobKind::service);
-    ASSERT_EQ(w.submit_and_wait(1, last).status, 201);
-    ASSERT_TRUE(w.until([&] { return over(1); }, 60));
-    EXPECT_EQ(w.answer(w.cancel(2, uid(1))).state, "done");
-    EXPECT_TRUE(w.until([&] { return w.running(uid(2)) == 1; }, 30));
+    ASSERT_EQ(cluster.submit_and_wait(1, last).status, 201);
+    ASSERT_TRUE(cluster.run_until([&] { return over(1); }, 60));
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(2, uid(1))).state, "done");
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 30));
     // A job that waits can be cancelled for itself, and takes with it only what needs it.
-    ASSERT_EQ(w.submit_and_wait(0, w.job(3)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, after(4, {3})).status, 201);
-    EXPECT_EQ(w.answer(w.cancel(1, uid(4))).state, "cancelled");
-    EXPECT_TRUE(w.until([&] { return over(3) && over(4); }, 60));
-    EXPECT_EQ(w.poll_and_wait(0, uid(3)).state, "done");
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(3)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, after(4, {3})).status, 201);
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(4))).state, "cancelled");
+    EXPECT_TRUE(cluster.run_until([&] { return over(3) && over(4); }, 60));
+    EXPECT_EQ(cluster.poll_and_wait(0, uid(3)).state, "done");
 }
 
 TEST_F(Chain, OfACancellationAndAStartOnlyOneComesFirst) {
     // The job that is followed is done and the one after it is about to be released: its
     // cancellation is in the same record, so that no claim can follow it.
     begin(3);
-    w.run_s = 2;
-    w.add_machine("vm-500000", "a");
+    cluster.workers.task_run_s = 2;
+    cluster.add_machine("vm-500000", "a");
     for (int n = 1; n < 16; n += 2) {
-        ASSERT_EQ(w.submit_and_wait(0, w.job(n)).status, 201);
-        ASSERT_EQ(w.submit_and_wait(1, after(n + 1, {n})).status, 201);
-        ASSERT_TRUE(w.until([&] { return over(n); }, 60));
-        w.run(0.002 * n);
-        w.cancel(2, uid(n + 1));
+        ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(n)).status, 201);
+        ASSERT_EQ(cluster.submit_and_wait(1, after(n + 1, {n})).status, 201);
+        ASSERT_TRUE(cluster.run_until([&] { return over(n); }, 60));
+        cluster.run_for(0.002 * n);
+        cluster.cancel(2, uid(n + 1));
     }
-    w.run(w.settings.cancel_s + 10);
+    cluster.run_for(cluster.settings.cancel_s + 10);
     for (int n = 2; n <= 16; n += 2) {
         EXPECT_TRUE(over(n));
     }
@@ -202,52 +206,55 @@
 
 TEST_F(Chain, WhatAnUrgentJobNeedsIsUrgent) {
     begin(3);
-    w.run_s = 1000;
-    auto low = w.job(1);
+    cluster.workers.task_run_s = 1000;
+    auto low = cluster.make_job(1);
     low.priority = Priority::best_effort;
     auto middle = after(2, {1});
     middle.priority = Priority::normal;
     auto urgent = after(3, {2});
     urgent.priority = Priority::high;
-    ASSERT_EQ(w.submit_and_wait(0, low).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, middle).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, urgent).status, 201);
-    w.run(1);
-    auto priority = [&](int n) { return w.node(2).context().jobs.find(uid(n))->spec.priority; };
+    ASSERT_EQ(cluster.submit_and_wait(0, low).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, middle).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, urgent).status, 201);
+    cluster.run_for(1);
+    auto priority = [&](int n) {
+        return cluster.controller(2).context().jobs.find(uid(n))->spec.priority;
+    };
     EXPECT_EQ(priority(1), Priority::high);
     EXPECT_EQ(priority(2), Priority::high);
-    EXPECT_EQ(w.answer(w.cancel(1, uid(3))).state, "cancelled");
-    w.run(1);
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(3))).state, "cancelled");
+    cluster.run_for(1);
     EXPECT_EQ(priority(1), Priority::normal);
     // Only lent: the record keeps the job's own.
-    EXPECT_EQ(w.node(2).context().jobs.find(uid(1))->record().spec.priority, Priority::best_effort);
+    EXPECT_EQ(cluster.controller(2).context().jobs.find(uid(1))->record().spec.priority,
+              Priority::best_effort);
 }
 
 TEST_F(Chain, ALongListOfFollowedJobsIsWrittenInParts) {
-    w.settings.state_value_kb = w.settings.state_value_kb_today = 2;
-    w.settings.state_txn_ops = 4;
+    cluster.settings.state_value_kb = cluster.settings.state_value_kb_today = 2;
+    cluster.settings.state_txn_ops = 4;
     begin(3);
-    w.run_s = 60;
+    cluster.workers.task_run_s = 60;
     std::vector<int> all;
     for (int n = 1; n <= 400; ++n) {
         all.push_back(n);
-        w.submit(n % 3, w.job(n, JobKind::array));
+        cluster.submit(n % 3, cluster.make_job(n, JobKind::array));
         if (n % 20 == 0) {
-            w.run(1);
+            cluster.run_for(1);
         }
     }
-    w.run(2);
+    cluster.run_for(2);
     auto last = after(1000, all);
     last.follows.push_back(uid(1));
-    ASSERT_EQ(w.submit_and_wait(0, last).status, 201);
-    EXPECT_GE(w.keys("c/l/" + uid(1000)).size(), 2U);
+    ASSERT_EQ(cluster.submit_and_wait(0, last).status, 201);
+    EXPECT_GE(cluster.store.keys("c/l/" + uid(1000)).size(), 2U);
     for (int i = 0; i < 3; ++i) {
-        w.kill(i);
+        cluster.kill(i);
     }
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return over(1000); }, 400));
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return over(1000); }, 400));
     // The parts go when they are no longer needed.
-    EXPECT_TRUE(w.until([&] { return w.keys("c/l/").empty(); }, 140));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.store.keys("c/l/").empty(); }, 140));
 }
 
 // --- two versions side by side ------------------------------------------------------------
@@ -311,96 +318,97 @@
 
 TEST_F(Chain, ProductionCanReadEveryRecordAndClaimsNothingForJobsThatWait) {
     begin(3);
-    w.run_s = 1000;
-    auto red = w.job(1, JobKind::array, 3);
+    cluster.workers.task_run_s = 1000;
+    auto red = cluster.make_job(1, JobKind::array, 3);
     red.team = "red";
-    ASSERT_EQ(w.submit_and_wait(0, red).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(2, JobKind::gang, 2)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(3, JobKind::array, 300)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, after(4, {1})).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(5)).status, 201);
-    w.answer(w.cancel(0, uid(5)));
-    ASSERT_TRUE(w.until([&] { return w.running(uid(1)) == 3 && over(5); }, 60));
-    w.kill(2);  // its machines are marked and returned
-    w.machines.begin()->second.hangs = true;
-    ASSERT_TRUE(w.until([&] { return !w.keys("c/x/").empty(); }, 60));
+    ASSERT_EQ(cluster.submit_and_wait(0, red).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(2, JobKind::gang, 2)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(3, JobKind::array, 300)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, after(4, {1})).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(5)).status, 201);
+    cluster.wait_for_reply(cluster.cancel(0, uid(5)));
+    ASSERT_TRUE(
+        cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3 && over(5); }, 60));
+    cluster.kill(2);  // its machines are marked and returned
+    cluster.machines.begin()->second.is_hung = true;
+    ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/x/").empty(); }, 60));
     std::set<std::string> kinds;
-    for (const auto& key : w.keys("c/")) {
+    for (const auto& key : cluster.store.keys("c/")) {
         kinds.insert(key.substr(0, 4));
-        expect_readable_by_production(key, *w.stored(key));
+        expect_readable_by_production(key, *cluster.store.find(key));
     }
     for (const char* kind : {"c/a/", "c/b/", "c/j/", "c/m/", "c/q/", "c/x/", "c/v/"}) {
         EXPECT_EQ(kinds.count(kind), 1U) << kind;
     }
     // Production claims nothing for a team that its settings don't name.
-    EXPECT_EQ(w.stored("c/j/" + uid(4))->at("team"), "");
-    EXPECT_EQ(w.stored("c/j/" + uid(4))->at("of_team"), "blue");
+    EXPECT_EQ(cluster.store.find("c/j/" + uid(4))->at("team"), "");
+    EXPECT_EQ(cluster.store.find("c/j/" + uid(4))->at("of_team"), "blue");
 }
 
 TEST_F(Chain, DependentJobsAreTakenOnceEveryControllerHasRunThisVersion) {
     // One of three is still to come: it may come back old, and would start what should wait.
-    w.start(0);
-    w.start(1);
-    ASSERT_TRUE(w.until([&] { return w.all_members(2); }, 10));
-    w.run(1);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
-    EXPECT_EQ(w.submit_and_wait(0, after(2, {1})).status, 503);
-    w.start(2);
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    w.run(1);
-    EXPECT_EQ(w.submit_and_wait(0, after(2, {1})).status, 201);
+    cluster.start(0);
+    cluster.start(1);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(2); }, 10));
+    cluster.run_for(1);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(2, {1})).status, 503);
+    cluster.start(2);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(2, {1})).status, 201);
     // From then on also while one of them is away.
-    w.kill(1);
-    w.run(5);
-    EXPECT_EQ(w.submit_and_wait(0, after(3, {1})).status, 201);
+    cluster.kill(1);
+    cluster.run_for(5);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(3, {1})).status, 201);
 }
 
 TEST_F(Chain, AMemberOfTheVersionBeforeMayLeadWhileOthersRelease) {
     // One of three is back with the old program, and is the oldest member: it knows nothing of
     // jobs that wait, and the oldest that does looks after them.
-    w.store("c/epoch",
-            {{"number", 1},
-             {"members", {{{"name", "n2"}, {"zone", "c"}, {"boot", "old"}, {"id", 1}}}}});
-    w.store("c/m/n2", {{"name", "n2"}, {"zone", "c"}, {"boot", "old"}, {"id", 1}});
+    cluster.store.put("c/epoch",
+                      {{"number", 1},
+                       {"members", {{{"name", "n2"}, {"zone", "c"}, {"boot", "old"}, {"id", 1}}}}});
+    cluster.store.put("c/m/n2", {{"name", "n2"}, {"zone", "c"}, {"boot", "old"}, {"id", 1}});
     JobRecord waits;
     waits.spec = after(2, {1});
     waits.submitted_wall = 1.7e9;
     waits.block_size = 34;
     waits.waiting = true;
-    w.know(waits.spec);
-    w.store("c/j/" + uid(2), encode(waits));
+    cluster.users.add_submitted(waits.spec);
+    cluster.store.put("c/j/" + uid(2), encode(waits));
     auto unlucky = waits;
     unlucky.spec = after(3, {2, 4});
-    w.know(unlucky.spec);
-    w.store("c/j/" + uid(3), encode(unlucky));
-    w.run_s = 2;
-    w.add_machine("vm-500000", "a");
-    w.add_machine("vm-500001", "b");
-    w.start(0);
-    w.start(1);
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    w.run(8);  // the list of machines is read now and then
-    ASSERT_EQ(w.submit_and_wait(0, w.job(4, JobKind::service)).status, 201);
-    ASSERT_EQ(w.submit_and_wait(0, w.job(1)).status, 201);
-    EXPECT_EQ(w.submit_and_wait(0, after(5, {1})).status, 503);
-    ASSERT_TRUE(w.until([&] { return over(2); }, 60));
-    w.heartbeat_of_version_before(2);  // it holds no leases of theirs
-    EXPECT_EQ(w.answer(w.cancel(1, uid(4))).state, "cancelled");
-    EXPECT_TRUE(w.until([&] { return over(3); }, 10));
+    cluster.users.add_submitted(unlucky.spec);
+    cluster.store.put("c/j/" + uid(3), encode(unlucky));
+    cluster.workers.task_run_s = 2;
+    cluster.add_machine("vm-500000", "a");
+    cluster.add_machine("vm-500001", "b");
+    cluster.start(0);
+    cluster.start(1);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(8);  // the list of machines is read now and then
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(4, JobKind::service)).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(5, {1})).status, 503);
+    ASSERT_TRUE(cluster.run_until([&] { return over(2); }, 60));
+    cluster.send_heartbeat_without_read_lease(2);  // it holds no leases of theirs
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(4))).state, "cancelled");
+    EXPECT_TRUE(cluster.run_until([&] { return over(3); }, 10));
     // The new program is there: what was held up goes on.
-    w.drop("c/m/n2");
-    w.start(2);
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    w.run(1);
-    EXPECT_EQ(w.submit_and_wait(0, after(5, {1})).status, 201);
-    EXPECT_TRUE(w.until([&] { return over(5); }, 60));
+    cluster.store.erase("c/m/n2");
+    cluster.start(2);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.submit_and_wait(0, after(5, {1})).status, 201);
+    EXPECT_TRUE(cluster.run_until([&] { return over(5); }, 60));
 }
 
 // --- records of the version before --------------------------------------------------------
 
 // A cluster whose records were written by production, under larger limits: an array of 128 tasks
 // in one block, 120 of them on machines, and a listing of forty jobs.
-struct Outgrown : Three {
+struct Outgrown : ThreeControllerTest {
     static constexpr int tasks = 128;
     Json listed(const JobSpec& s, int block_size) {
         return {{"uid", s.uid},
@@ -423,138 +431,138 @@
                 {"cancelled", 0.0}};
     }
     JobSpec big() {
-        auto s = w.job(1, JobKind::array, tasks);
+        auto s = cluster.make_job(1, JobKind::array, tasks);
         s.each = {1, 0, 1};
         return s;
     }
     void write_records(const JobSpec& s) {
-        w.settings.state_value_kb = 2;
-        w.settings.state_value_kb_today = 8;
-        w.settings.state_txn_ops = 4;
-        w.know(s);
+        cluster.settings.state_value_kb = 2;
+        cluster.settings.state_value_kb_today = 8;
+        cluster.settings.state_txn_ops = 4;
+        cluster.users.add_submitted(s);
         Json jobs = Json::array({listed(s, 128)});
         for (int n = 2; n <= 12; ++n) {
-            w.know(w.job(n));
-            jobs.push_back(listed(w.job(n), 102));
+            cluster.users.add_submitted(cluster.make_job(n));
+            jobs.push_back(listed(cluster.make_job(n), 102));
         }
-        w.store("c/a/1-1", {{"jobs", jobs}});
+        cluster.store.put("c/a/1-1", {{"jobs", jobs}});
         Json placed = Json::object();
         for (int t = 0; t < 120; ++t) {
             auto name = fmt::format("vm-9000{:02}", t / 40);
-            std::string zone = w.settings.zones[static_cast<std::size_t>(t / 40)];
+            std::string zone = cluster.settings.zones[static_cast<std::size_t>(t / 40)];
             if (t % 40 == 0) {
-                w.add_machine(name, zone);
+                cluster.add_machine(name, zone);
             }
             placed[std::to_string(t)] = {name, zone, 1, 1};
-            auto& task = w.machines[name].tasks[{s.uid, t}][1];
+            auto& task = cluster.machines[name].tasks[{s.uid, t}][1];
             task.attempt = 1;
             task.ready_at = 1;
         }
-        w.store("c/b/" + s.uid + "/0",
-                {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
-        ASSERT_GT(w.stored("c/b/" + s.uid + "/0")->dump().size(), 2048U);
-        ASSERT_GT(w.stored("c/a/1-1")->dump().size(), 2048U);
+        cluster.store.put("c/b/" + s.uid + "/0",
+                          {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
+        ASSERT_GT(cluster.store.find("c/b/" + s.uid + "/0")->dump().size(), 2048U);
+        ASSERT_GT(cluster.store.find("c/a/1-1")->dump().size(), 2048U);
     }
     void lower() {
-        w.value_kb = 2;
-        w.txn_ops = 4;
+        cluster.store.value_limit_kb = 2;
+        cluster.store.transaction_operation_limit = 4;
     }
 };
 
 TEST_F(Outgrown, ABlockTooLargeForTheNewLimitsIsPartedAndItsJobEnds) {
-    w.run_s = 8;
-    w.tunables.final_states = 0;
+    cluster.workers.task_run_s = 8;
+    cluster.tunables.final_states = 0;
     write_records(big());
     lower();
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return !w.keys("c/p/").empty(); }, 30));
-    expect_readable_by_production("c/j/" + uid(1), *w.stored("c/j/" + uid(1)));
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/p/").empty(); }, 30));
+    expect_readable_by_production("c/j/" + uid(1), *cluster.store.find("c/j/" + uid(1)));
     // A crash of everybody between two steps loses and doubles nothing.
     for (int i = 0; i < 3; ++i) {
-        w.kill(i);
+        cluster.kill(i);
     }
-    w.run(1);
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.finished(uid(1)); }, 120));
-    EXPECT_EQ(w.poll_and_wait(0, uid(1)).state, "done");
+    cluster.run_for(1);
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
+    EXPECT_EQ(cluster.poll_and_wait(0, uid(1)).state, "done");
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(w.node(i).context().jobs.indexes_agree());
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
     }
     // All of it goes, and with the last of its jobs the listing that can't be put again.
-    EXPECT_TRUE(w.until(
+    EXPECT_TRUE(cluster.run_until(
         [&] {
-            return w.keys("c/p/").empty() && w.keys("c/b/").empty() && w.keys("c/j/").empty() &&
-                   w.keys("c/a/").empty();
+            return cluster.store.keys("c/p/").empty() && cluster.store.keys("c/b/").empty() &&
+                   cluster.store.keys("c/j/").empty() && cluster.store.keys("c/a/").empty();
         },
         120));
     for (int n = 1; n <= 12; ++n) {
-        EXPECT_EQ(w.poll_and_wait(n % 3, uid(n)).state, "done");
-        EXPECT_NE(w.stored("f/" + uid(n)), nullptr);
+        EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).state, "done");
+        EXPECT_NE(cluster.store.find("f/" + uid(n)), nullptr);
     }
 }
 
 TEST_F(Outgrown, UntilEveryControllerIsNewTheOldLimitsServeTheOldRecords) {
-    w.run_s = 8;
+    cluster.workers.task_run_s = 8;
     write_records(big());
-    w.start(0);
-    w.start(1);
-    ASSERT_TRUE(
-        w.until([&] { return w.stored("c/b/" + uid(1) + "/0")->at("done").size() > 0; }, 60));
-    EXPECT_TRUE(w.keys("c/p/").empty());
-    w.start(2);
+    cluster.start(0);
+    cluster.start(1);
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.store.find("c/b/" + uid(1) + "/0")->at("done").size() > 0; }, 60));
+    EXPECT_TRUE(cluster.store.keys("c/p/").empty());
+    cluster.start(2);
     lower();
-    EXPECT_TRUE(w.until([&] { return w.finished(uid(1)); }, 120));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
 }
 
 TEST_F(Outgrown, AJobWhoseBlockIsTooLargeCanBeCancelled) {
-    w.run_s = 1000;
+    cluster.workers.task_run_s = 1000;
     write_records(big());
     lower();
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.all_members(3); }, 10));
-    ASSERT_TRUE(w.until([&] { return w.running(uid(1)) >= 120; }, 20));
-    EXPECT_EQ(w.answer(w.cancel(1, uid(1))).state, "cancelled");
-    EXPECT_TRUE(w.until([&] { return w.running(uid(1)) == 0; }, 10));
-    EXPECT_TRUE(w.until([&] { return w.finished(uid(1)); }, 30));
-    EXPECT_EQ(w.poll_and_wait(2, uid(1)).state, "cancelled");
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) >= 120; }, 20));
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 0; }, 10));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 30));
+    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "cancelled");
 }
 
 TEST_F(Outgrown, ALateWriteOfTheVersionBeforeMeetsThePages) {
     // It is executed when some of the job's pages are there: what they say holds.
-    w.run_s = 30;
+    cluster.workers.task_run_s = 30;
     write_records(big());
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.running(uid(1)) >= 120; }, 20));
-    for (auto& [id, attempts] : w.machines["vm-900000"].tasks) {
-        attempts[1].ends_at = w.now + (id.index < 20 ? 1 : 1000);
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) >= 120; }, 20));
+    for (auto& [id, attempts] : cluster.machines["vm-900000"].tasks) {
+        attempts[1].ends_at = cluster.now() + (id.index < 20 ? 1 : 1000);
     }
-    ASSERT_TRUE(w.until([&] { return !w.keys("c/p/").empty(); }, 30));
-    Json block = *w.stored("c/b/" + uid(1) + "/0");
+    ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/p/").empty(); }, 30));
+    Json block = *cluster.store.find("c/b/" + uid(1) + "/0");
     for (int t : {5, 50, 51}) {
         block["placed"].erase(std::to_string(t));
         if (t != 5) {
-            w.machines["vm-900001"].tasks.erase({uid(1), t});  // as it says: they are lost
+            cluster.machines["vm-900001"].tasks.erase({uid(1), t});  // as it says: they are lost
         }
     }
     block["done"] = {{5, 5}};
-    w.store("c/b/" + uid(1) + "/0", block);
-    w.run(1);
-    const auto& jobs = w.node(0).context().jobs;
+    cluster.store.put("c/b/" + uid(1) + "/0", block);
+    cluster.run_for(1);
+    const auto& jobs = cluster.controller(0).context().jobs;
     EXPECT_TRUE(jobs.indexes_agree());
     EXPECT_TRUE(jobs.find(uid(1))->block(0).is_done(5));
-    for (auto& [id, attempts] : w.machines["vm-900000"].tasks) {
-        attempts[1].ends_at = w.now;
+    for (auto& [id, attempts] : cluster.machines["vm-900000"].tasks) {
+        attempts[1].ends_at = cluster.now();
     }
-    EXPECT_TRUE(w.until([&] { return w.finished(uid(1)); }, 120));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
 }
 
 TEST_F(Outgrown, PagesOfASpreadJobShareItsRule) {
     auto s = big();
     s.spread = true;
     s.tasks = 60;
-    w.run_s = 1000;
+    cluster.workers.task_run_s = 1000;
     write_records(big());
-    w.know(s);
+    cluster.users.add_submitted(s);
     // All of the second half in one zone: the pages' own halves are full or empty.
     Json placed = Json::object();
     for (int t = 30; t < 60; ++t) {
@@ -562,74 +570,80 @@
     }
     auto spread = s;
     spread.uid = uid(50);
-    w.know(spread);
-    w.store("c/a/1-2", {{"jobs", {listed(spread, 102)}}});
-    w.machines["vm-900001"].tasks.clear();
-    w.store("c/b/" + uid(1) + "/0",
-            {{"attempt", 1}, {"placed", Json::object()}, {"done", {{0, 127}}}});
-    w.machines["vm-900000"].tasks.clear();
-    w.machines["vm-900002"].tasks.clear();
+    cluster.users.add_submitted(spread);
+    cluster.store.put("c/a/1-2", {{"jobs", {listed(spread, 102)}}});
+    cluster.machines["vm-900001"].tasks.clear();
+    cluster.store.put("c/b/" + uid(1) + "/0",
+                      {{"attempt", 1}, {"placed", Json::object()}, {"done", {{0, 127}}}});
+    cluster.machines["vm-900000"].tasks.clear();
+    cluster.machines["vm-900002"].tasks.clear();
     for (int t = 30; t < 60; ++t) {
-        auto& task = w.machines["vm-900001"].tasks[{spread.uid, t}][1];
+        auto& task = cluster.machines["vm-900001"].tasks[{spread.uid, t}][1];
         task.attempt = 1;
         task.ready_at = 1;
     }
     auto record = listed(spread, 102);
     record["page_size"] = 20;
-    w.store("c/j/" + uid(50), record);
-    w.store("c/b/" + uid(50) + "/0", {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
+    cluster.store.put("c/j/" + uid(50), record);
+    cluster.store.put("c/b/" + uid(50) + "/0",
+                      {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
     lower();
-    w.start_all();
-    EXPECT_TRUE(w.until([&] { return w.running(uid(50)) == 60; }, 60));
+    cluster.start_all();
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(50)) == 60; }, 60));
     int in_b = 0;
-    for (const auto& name : w.places(uid(50))) {
-        in_b += w.machines[name].info.zone == "b" ? 1 : 0;
+    for (const auto& name : cluster.machines_running(uid(50))) {
+        in_b += cluster.machines[name].info.zone == "b" ? 1 : 0;
     }
     EXPECT_EQ(in_b, 30);
 }
 
 TEST_F(Outgrown, MarksTooLargeForTheNewLimitsAreSettledBesideTheirRecord) {
     write_records(big());
-    w.machines.clear();
-    w.drop("c/a/1-1");
-    w.drop("c/b/" + uid(1) + "/0");
+    cluster.machines.clear();
+    cluster.store.erase("c/a/1-1");
+    cluster.store.erase("c/b/" + uid(1) + "/0");
     Json names = Json::array();
     for (int i = 0; i < 100; ++i) {
         names.push_back(fmt::format("vm-80{:04}", i));
-        w.add_machine(names.back(), "a");
+        cluster.add_machine(names.back(), "a");
     }
-    w.store("c/x/1-1",
-            {{"why", "idle"}, {"fence", false}, {"machines", names}, {"gone", Json::array()}});
+    cluster.store.put(
+        "c/x/1-1",
+        {{"why", "idle"}, {"fence", false}, {"machines", names}, {"gone", Json::array()}});
     lower();
-    w.start_all();
-    ASSERT_TRUE(w.until([&] { return w.machines_up() == 0; }, 30));
-    EXPECT_NE(w.stored("c/x/1-1"), nullptr);
-    EXPECT_TRUE(w.until([&] { return w.keys("c/x/").empty(); }, 300));
+    cluster.start_all();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.cloud.machine_count() == 0; }, 30));
+    EXPECT_NE(cluster.store.find("c/x/1-1"), nullptr);
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.store.keys("c/x/").empty(); }, 300));
 }
 
 TEST_F(Outgrown, ANewJobKeepsToTheNewLimitsFromTheStart) {
     // The stand-in refuses whatever is larger, and a refusal fails the story.
-    w.settings.state_value_kb = 2;
-    w.settings.state_txn_ops = 4;
+    cluster.settings.state_value_kb = 2;
+    cluster.settings.state_txn_ops = 4;
     lower();
     begin(3);
-    w.run_s = 10;
-    auto wide = w.job(3, JobKind::array, 10);
+    cluster.workers.task_run_s = 10;
+    auto wide = cluster.make_job(3, JobKind::array, 10);
     wide.types = std::vector<std::string>{"t8"};
     for (int i = 0; i < 300; ++i) {
         wide.types->push_back("nowhere-" + std::to_string(i));
     }
-    EXPECT_EQ(w.submit_and_wait(0, w.job(1, JobKind::array, 150)).status, 201);
-    EXPECT_EQ(w.submit_and_wait(1, w.job(2, JobKind::gang, 8)).status, 201);
-    EXPECT_EQ(w.submit_and_wait(2, wide).status, 201);
-    auto odd = w.job(4);
+    EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 150)).status, 201);
+    EXPECT_EQ(cluster.submit_and_wait(1, cluster.make_job(2, JobKind::gang, 8)).status, 201);
+    EXPECT_EQ(cluster.submit_and_wait(2, wide).status, 201);
+    auto odd = cluster.make_job(4);
     odd.job_class = odd.image = std::string(200, '\x01');  // six bytes each in JSON
-    EXPECT_EQ(w.submit_and_wait(2, odd).status, 422);
+    EXPECT_EQ(cluster.submit_and_wait(2, odd).status, 422);
     for (int n = 10; n < 60; ++n) {
-        w.submit(n % 3, w.job(n));
+        cluster.submit(n % 3, cluster.make_job(n));
     }
-    EXPECT_TRUE(w.until(
-        [&] { return w.finished(uid(1)) && w.finished(uid(2)) && w.finished(uid(3)); }, 200));
+    EXPECT_TRUE(cluster.run_until(
+        [&] {
+            return cluster.is_finished(uid(1)) && cluster.is_finished(uid(2)) &&
+                   cluster.is_finished(uid(3));
+        },
+        200));
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/simulated_cluster_messages.cpp
@@ -0,0 +1,411 @@
+// What controllers and workers of a simulated cluster send, with its delays, losses and replies.
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "core/model/constants.hpp"
+#include "simulated_cluster.hpp"
+
+namespace cranemoor::test {
+
+namespace {
+// Seconds that the store keeps a watch open without news.
+constexpr double watch_s = 8;
+// Seconds after which a controller is told that a call was not answered.
+constexpr double call_timeout_s = 2;
+// The same for a call to a peer.
+constexpr double peer_timeout_s = 1;
+// Seconds after which a worker tries the next node: one that does not answer, and one out of reach.
+constexpr double heartbeat_timeout_s = 4;
+constexpr double unreachable_timeout_s = 1;
+// Seconds until a worker tries again after a reply that names another node, and after others.
+constexpr double redirect_pause_s = 0.2;
+constexpr double retry_pause_s = 1;
+// Seconds within which a worker sends the next heartbeat after it has seen a new fencing token.
+constexpr double new_token_heartbeat_s = 0.5;
+// Seconds that the cloud takes at least for a call.
+constexpr double cloud_call_s = 0.1;
+constexpr int http_ok = 200;
+constexpr int http_misdirected = 421;
+
+int node_of(const std::string& name) {
+    return std::stoi(name.substr(1));
+}
+}  // namespace
+
+void SimulatedCluster::perform_actions(int node) {
+    auto& controller = at(node).controller;
+    while (controller) {
+        auto actions = controller->take();
+        if (actions.empty()) {
+            return;
+        }
+        for (const auto& action : actions) {
+            perform(node, action);
+        }
+    }
+}
+
+void SimulatedCluster::perform(int node, const Action& action) {
+    if (const auto* store_call = std::get_if<StateCall>(&action)) {
+        send(node, *store_call);
+    } else if (const auto* cloud_call = std::get_if<CloudCall>(&action)) {
+        send(node, *cloud_call);
+    } else if (const auto* direct_call = std::get_if<OrderCall>(&action)) {
+        send(node, *direct_call);
+    } else if (const auto* peer_call = std::get_if<PeerCall>(&action)) {
+        send(node, *peer_call);
+    } else if (const auto* worker_reply = std::get_if<WorkerReply>(&action)) {
+        send(*worker_reply);
+    } else if (const auto* user_reply = std::get_if<UserReply>(&action)) {
+        log_reply(node, *user_reply);
+        users.receive(*user_reply);
+    } else if (const auto* line = std::get_if<LogLine>(&action)) {
+        log_lines.push_back(fmt::format("{:.3f} n{} {}", now(), node, line->text));
+    }
+}
+
+void SimulatedCluster::log_reply(int node, const UserReply& reply) {
+    log_lines.push_back(fmt::format("{:.3f} n{} reply {} to {}: {} {} {}", now(), node,
+                                    reply.request, reply.uid, reply.status, reply.state,
+                                    reply.error));
+}
+
+// --- key-value store
+
+void SimulatedCluster::send(int node, const StateCall& call) {
+    int generation = at(node).generation;
+    if (call.kind == StateCall::Kind::watch) {
+        watches_.push_back({node, generation, call.id, call.since, now() + watch_s});
+        return;
+    }
+    bool is_txn = call.kind == StateCall::Kind::txn;
+    double hold_s = is_txn && faults.transaction_hold_s ? faults.transaction_hold_s(call.txn) : 0;
+    bool is_late =
+        hold_s > 0 || (is_txn && simulation.chance(faults.delayed_transaction_probability));
+    double reply_s =
+        is_txn && faults.transaction_reply_delay_s ? faults.transaction_reply_delay_s(call.txn) : 0;
+    bool is_lost = is_late || simulation.chance(faults.lost_reply_probability) ||
+                   reply_s >= constants::state_timeout_s;
+    double wait_s = hold_s;
+    if (hold_s <= 0 && is_late) {
+        wait_s = simulation.uniform(2, 12);  // late ones follow newer ones of the same node
+    } else if (hold_s <= 0) {
+        wait_s = simulation.message_delay();
+        wait_s += is_txn && faults.transaction_delay_s ? faults.transaction_delay_s(call.txn) : 0;
+    }
+    simulation.after(wait_s, [=, this] {
+        StateReply reply;
+        bool is_refused =
+            faults.store_down || faults.nodes_refused_by_store.count(node) != 0 ||
+            (is_txn && faults.refuse_transaction && faults.refuse_transaction(call.txn));
+        if (is_refused) {
+            reply.status = StateReply::Status::refused;
+        } else {
+            reply = store.execute(call);
+        }
+        if (!is_lost) {
+            double delay_s = faults.store_reply_delay_s + reply_s + simulation.message_delay();
+            simulation.after(delay_s,
+                             [=, this] { reply_to_store_call(node, generation, call.id, reply); });
+        }
+    });
+    if (is_lost) {
+        simulation.after(call_timeout_s, [=, this] {
+            reply_to_store_call(node, generation, call.id, StateReply{});
+        });
+    }
+}
+
+void SimulatedCluster::reply_to_store_call(int node, int generation, std::uint64_t id,
+                                           const StateReply& reply) {
+    deliver(node, generation,
+            [=, this](Controller& controller) { controller.state_reply(time(), id, reply); });
+}
+
+void SimulatedCluster::serve_watches() {
+    if (faults.store_down) {
+        return;
+    }
+    for (const auto& watch : std::exchange(watches_, {})) {
+        serve_watch(watch);
+    }
+}
+
+// Answers a watch that has news or whose time has run out, and keeps any other open.
+void SimulatedCluster::serve_watch(Watch watch) {
+    bool is_refused = faults.nodes_refused_by_store.count(watch.node) != 0;
+    StateReply reply;
+    if (watch.since < store.compacted_revision() && !is_refused) {
+        reply.status = StateReply::Status::compacted;
+        simulation.after(simulation.message_delay(), [=, this] {
+            reply_to_store_call(watch.node, watch.generation, watch.id, reply);
+        });
+        return;
+    }
+    watch.is_dead = watch.is_dead || is_refused;
+    std::vector<Event> news = store.changes_since(watch.since);
+    if (is_refused || (now() < watch.ends_at && (news.empty() || watch.is_dead))) {
+        watches_.push_back(watch);
+        return;
+    }
+    reply.status = StateReply::Status::ok;
+    reply.revision = store.revision();
+    reply.events = std::move(news);
+    simulation.after(faults.store_reply_delay_s + simulation.message_delay(), [=, this] {
+        reply_to_store_call(watch.node, watch.generation, watch.id, reply);
+    });
+}
+
+// --- cloud
+
+void SimulatedCluster::send(int node, const CloudCall& call) {
+    int generation = at(node).generation;
+    simulation.after(cloud_call_s + simulation.message_delay(), [=, this] {
+        CloudReply reply;
+        if (!faults.cloud_down) {
+            reply = cloud.execute(call);
+        }
+        if (simulation.chance(faults.lost_reply_probability)) {
+            reply = {};
+        }
+        double wait_s = call.kind == CloudCall::Kind::rent ? cloud.rental_reply_delay_s : 0;
+        simulation.after(wait_s + simulation.message_delay(), [=, this] {
+            deliver(node, generation, [=, this](Controller& controller) {
+                controller.cloud_reply(time(), call.id, reply);
+            });
+        });
+    });
+}
+
+// --- direct calls to workers
+
+bool SimulatedCluster::reaches_worker(int node, const FakeWorker& worker) const {
+    return !worker.deleted && !worker.is_unreachable && !worker.loses_replies &&
+           now() >= worker.up_at && (worker.only_node < 0 || worker.only_node == node) &&
+           faults.nodes_cut_from_workers.count(node) == 0;
+}
+
+// False if the fencing token or the session is not the worker's.
+bool SimulatedCluster::execute_direct_call(const OrderCall& call) {
+    FakeWorker& worker = machines[call.address];
+    if (call.session == 0 || call.token < worker.fencing_token || call.session != worker.session) {
+        return false;
+    }
+    worker.fencing_token = call.token;
+    for (const auto& command : call.commands) {
+        workers.execute(worker, command);
+    }
+    return true;
+}
+
+void SimulatedCluster::send(int node, const OrderCall& call) {
+    int generation = at(node).generation;
+    simulation.after(simulation.message_delay(), [=, this] {
+        OrderReply reply;
+        auto it = machines.find(call.address);
+        bool is_connected = it != machines.end() && reaches_worker(node, it->second);
+        bool is_answered = is_connected && !it->second.is_hung;
+        if (is_answered) {
+            reply.answered = true;
+            reply.executed = execute_direct_call(call);
+            reply.report = workers.make_heartbeat(it->second);
+        } else if (is_connected) {
+            it->second.held_commands.emplace_back([=, this] { execute_direct_call(call); });
+        }
+        double wait_s = is_answered ? simulation.message_delay() : call_timeout_s;
+        simulation.after(wait_s, [=, this] {
+            deliver(node, generation, [=, this](Controller& controller) {
+                controller.order_reply(time(), call.id, reply);
+            });
+        });
+    });
+}
+
+// --- peers
+
+void SimulatedCluster::send(int node, const PeerCall& call) {
+    int generation = at(node).generation;
+    int peer = node_of(call.peer);
+    bool is_cut = faults.cut_peer_links.count({std::min(node, peer), std::max(node, peer)}) != 0;
+    if (is_cut || !is_alive(peer)) {
+        simulation.after(peer_timeout_s, [=, this] {
+            deliver(node, generation, [=, this](Controller& controller) {
+                controller.peer_reply(time(), call.id, false, std::nullopt);
+            });
+        });
+        return;
+    }
+    int peer_generation = at(peer).generation;
+    simulation.after(simulation.message_delay(), [=, this] {
+        deliver(peer, peer_generation, [=, this](Controller& controller) {
+            PeerCall message = call;
+            if (faults.nodes_without_read_leases.count(node) != 0) {
+                message.lease.reset();
+            }
+            controller.peer_message(time(), node_name(node), message);
+            if (call.relay) {
+                relay_heartbeat(node, generation, call, controller);
+            }
+        });
+    });
+}
+
+// A worker's heartbeat that came to one node and is handled by another.
+void SimulatedCluster::relay_heartbeat(int node, int generation, const PeerCall& call,
+                                       Controller& relaying) {
+    std::uint64_t request = simulation.new_request_id();
+    worker_reply_handlers_[request] = [=, this](const WorkerReply& reply) {
+        simulation.after(simulation.message_delay(), [=, this] {
+            deliver(node, generation, [=, this](Controller& controller) {
+                controller.peer_reply(time(), call.id, true, reply);
+            });
+        });
+    };
+    relaying.report(time(), request, *call.relay, true);
+}
+
+// --- heartbeats of workers
+
+void SimulatedCluster::step_workers() {
+    for (auto& [name, worker] : machines) {
+        if (workers.step(worker)) {
+            send_heartbeat(worker);
+        }
+    }
+}
+
+void SimulatedCluster::send_heartbeat(FakeWorker& worker) {
+    worker.in_flight = true;
+    worker.sent_at = now();
+    worker.next_report = now() + settings.report_s;
+    Report heartbeat = workers.make_heartbeat(worker);
+    int node = static_cast<int>(worker.target);
+    bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
+                   (worker.only_node >= 0 && worker.only_node != node) ||
+                   faults.nodes_cut_from_workers.count(node) != 0 || !is_alive(node);
+    if (!is_lost && simulation.chance(faults.duplicated_heartbeat_probability)) {
+        duplicate_heartbeat(node, heartbeat);
+    }
+    if (!is_lost && simulation.chance(faults.recorded_heartbeat_probability)) {
+        recorded_heartbeats_.push_back(heartbeat);
+    }
+    if (!is_lost) {
+        deliver_heartbeat(worker, heartbeat);
+    }
+    time_out_heartbeat(worker.info.name, worker.sent_at,
+                       is_lost ? unreachable_timeout_s : heartbeat_timeout_s);
+}
+
+void SimulatedCluster::deliver_heartbeat(const FakeWorker& worker, const Report& heartbeat) {
+    int node = static_cast<int>(worker.target);
+    int generation = at(node).generation;
+    std::string machine = worker.info.name;
+    std::uint64_t session = worker.session;
+    double sent_at = worker.sent_at;
+    simulation.after(simulation.message_delay(), [=, this] {
+        deliver(node, generation, [=, this](Controller& controller) {
+            std::uint64_t request = simulation.new_request_id();
+            worker_reply_handlers_[request] = [=, this](const WorkerReply& reply) {
+                simulation.after(simulation.message_delay(), [=, this] {
+                    receive_worker_reply(machine, session, sent_at, node, reply);
+                });
+            };
+            controller.report(time(), request, heartbeat, false);
+        });
+    });
+}
+
+// After a heartbeat without a reply the worker turns to the next node.
+void SimulatedCluster::time_out_heartbeat(const std::string& machine, double sent_at,
+                                          double timeout_s) {
+    simulation.after(timeout_s, [=, this] {
+        auto it = machines.find(machine);
+        if (it != machines.end() && it->second.in_flight && it->second.sent_at == sent_at) {
+            it->second.in_flight = false;
+            it->second.target = (it->second.target + 1) % nodes_.size();
+            it->second.next_report = now() + retry_pause_s;
+        }
+    });
+}
+
+// A copy of it comes from 2 s to well over a lease later, to whatever process runs there then.
+void SimulatedCluster::duplicate_heartbeat(int node, const Report& heartbeat) {
+    simulation.after(simulation.uniform(2, 1.5 * settings.lease_s), [=, this] {
+        deliver(node, [=, this](Controller& controller) {
+            // Nobody waits for its reply.
+            controller.report(time(), simulation.new_request_id(), heartbeat, false);
+        });
+    });
+}
+
+void SimulatedCluster::replay_recorded_heartbeats() {
+    for (const auto& heartbeat : std::exchange(recorded_heartbeats_, {})) {
+        for (int node = 0; node < node_count(); ++node) {
+            deliver(node, [=, this](Controller& controller) {
+                // Nobody waits for its reply.
+                controller.report(time(), simulation.new_request_id(), heartbeat, false);
+            });
+        }
+    }
+}
+
+void SimulatedCluster::send(const WorkerReply& reply) {
+    auto it = worker_reply_handlers_.find(reply.request);
+    if (it != worker_reply_handlers_.end()) {
+        auto handle = std::move(it->second);
+        worker_reply_handlers_.erase(it);
+        handle(reply);
+    }
+}
+
+void SimulatedCluster::receive_worker_reply(const std::string& machine, std::uint64_t session,
+                                            double sent_at, int node, const WorkerReply& reply) {
+    auto it = machines.find(machine);
+    if (it == machines.end() || it->second.deleted || it->second.sent_at != sent_at ||
+        !it->second.in_flight || it->second.is_unreachable || it->second.loses_replies ||
+        it->second.loses_heartbeats) {
+        return;
+    }
+    FakeWorker& worker = it->second;
+    worker.in_flight = false;
+    if (reply.status != http_ok) {
+        redirect_worker(worker, node, reply);
+        return;
+    }
+    if (reply.token < worker.fencing_token || session != worker.session || worker.is_hung) {
+        return;
+    }
+    if (reply.token > worker.fencing_token) {
+        worker.fencing_token = reply.token;
+        worker.send_heartbeat_by(sent_at + new_token_heartbeat_s);
+    }
+    worker.lease_from = sent_at;
+    for (const auto& command : reply.commands) {
+        workers.execute(worker, command);
+    }
+}
+
+void SimulatedCluster::redirect_worker(FakeWorker& worker, int node,
+                                       const WorkerReply& reply) const {
+    bool names_another =
+        reply.status == http_misdirected && !reply.home.empty() && reply.home != node_name(node);
+    int next = names_another ? node_of(reply.home) : (node + 1) % node_count();
+    worker.target = static_cast<std::size_t>(next);
+    worker.next_report = now() + (names_another ? redirect_pause_s : retry_pause_s);
+}
+
+WorkerReply SimulatedCluster::send_heartbeat(int node, const Report& heartbeat) {
+    std::uint64_t request = simulation.new_request_id();
+    auto received = std::make_shared<std::optional<WorkerReply>>();
+    worker_reply_handlers_[request] = [received](const WorkerReply& reply) { *received = reply; };
+    deliver(node, [=, this](Controller& controller) {
+        controller.report(time(), request, heartbeat, false);
+    });
+    run_until([&] { return received->has_value(); }, 5);
+    return received->value_or(WorkerReply{});
+}
+
+}  // namespace cranemoor::test
