--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -3,11 +3,20 @@
 namespace cranemoor::core {
 
 bool GangPreemption::would_save(const Job& job) {
-    const JobSpec& s = job.spec;
-    return s.kind == JobKind::gang && s.checkpoint_s > 0 && job.placed() == s.tasks &&
+    const JobSpec& spec = job.spec;
+    return spec.kind == JobKind::gang && spec.checkpoint_s > 0 && job.placed() == spec.tasks &&
            !job.cancelled;
 }
 
+bool GangPreemption::is_incomplete(const Job& job) {
+    if (job.spec.kind != JobKind::gang) {
+        return false;
+    }
+    int placed = job.placed();
+    // Once a task of a gang is done, all are; stragglers then finish one by one.
+    return placed > 0 && job.done() == 0 && placed < job.spec.tasks;
+}
+
 double GangPreemption::cost_s(const Job& job) const {
     return (job.spec.save_s + ctx_.settings.gang_peer_s) * job.spec.tasks;
 }
@@ -25,8 +34,8 @@
     job.add_block(0, next, txn);
     ctx_.busy.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
-    ctx_.txn(std::move(txn), [this, key](const StateReply& r) {
-        ctx_.when_settled(r, [this, key] { ctx_.busy.erase(key); });
+    ctx_.txn(std::move(txn), [this, key](const StateReply& reply) {
+        ctx_.when_settled(reply, [this, key] { ctx_.busy.erase(key); });
     });
 }
 
--- a/src/core/agents/gang_preemption.hpp
+++ b/src/core/agents/gang_preemption.hpp
@@ -19,6 +19,8 @@
     /// Whether stopping the gang whole would save its progress: it is a gang that checkpoints,
     /// all its tasks are placed, and it is not cancelled.
     static bool would_save(const Job& job);
+    /// Whether a gang has lost part of its tasks: some placed, none done, not all placed.
+    static bool is_incomplete(const Job& job);
     /// Machine-seconds that preempting the gang costs: every task checkpoints (save_s) and waits
     /// for its peers (gang_peer_s).
     double cost_s(const Job& job) const;
--- /dev/null
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -0,0 +1,141 @@
+#include "core/agents/heartbeat_replies.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace cranemoor::core {
+
+void HeartbeatReplies::open(Machine& machine, std::uint64_t request) {
+    machine.open_request = request;
+    machine.seen_by_scheduler = false;
+    machine.reply_held_open = false;
+    if (!machine.awaiting_reply) {
+        machine.awaiting_reply = true;
+        awaiting_reply_.push_back(&machine);
+    }
+}
+
+void HeartbeatReplies::send(Machine& machine) {
+    if (!machine.open_request) {
+        return;
+    }
+    WorkerReply reply;
+    reply.request = *machine.open_request;
+    machine.open_request.reset();
+    if (!membership_.may_answer_workers() || !machine.owned_by_us) {
+        reply.status = machine.owned_by_us ? 503 : 421;
+        ctx_.out.emplace_back(reply);
+        return;
+    }
+    reply.status = 200;
+    reply.token = ctx_.fencing_token;
+    if (machine.adopted) {
+        std::set<TaskId> live = add_stops_and_forgets(machine, reply);
+        add_starts(machine, live, reply);
+    }
+    ctx_.out.emplace_back(std::move(reply));
+}
+
+std::set<TaskId> HeartbeatReplies::add_stops_and_forgets(Machine& machine,
+                                                         WorkerReply& reply) const {
+    std::set<TaskId> live;
+    for (const auto& [attempt, status] : machine.tasks) {
+        const Placement* placement = ctx_.jobs.placement(attempt.task);
+        bool ours = placement != nullptr && placement->machine == machine.name &&
+                    placement->attempt == attempt.number;
+        if (status.state == TaskState::exited) {
+            if (!ours) {
+                reply.commands.push_back({Command::Kind::forget, attempt.task, attempt.number, 0});
+                machine.starts_sent.erase(attempt);
+                machine.seen_running.erase(attempt);
+            }
+            continue;
+        }
+        live.insert(attempt.task);
+        auto stop = machine.pending_stops.find(attempt);
+        if (!ours) {
+            reply.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, 0});
+        } else if (stop != machine.pending_stops.end()) {
+            reply.commands.push_back(
+                {Command::Kind::stop, attempt.task, attempt.number, stop->second.grace_s});
+        }
+    }
+    return live;
+}
+
+void HeartbeatReplies::add_starts(Machine& machine, const std::set<TaskId>& live,
+                                  WorkerReply& reply) {
+    bool may_start = membership_.may_start_tasks();
+    for (const auto& [id, on] : registry_.site(machine).tasks) {
+        if (!may_start || !registry_.should_start(machine, *on.job)) {
+            continue;
+        }
+        Attempt attempt{id, on.place->attempt};
+        bool exit_pending = pending_exits_.find(*on.job, id.index) != nullptr;
+        if (machine.tasks.count(attempt) != 0 || live.count(id) != 0 || exit_pending) {
+            continue;
+        }
+        if (machine.starts_sent.insert(attempt).second) {
+            ctx_.info("start {} attempt {} on {}", id.text(), attempt.number, machine.name);
+        }
+        reply.commands.push_back({Command::Kind::start, id, attempt.number, 0});
+    }
+}
+
+void HeartbeatReplies::send_due() {
+    // Those that were answered otherwise leave the list here: until then they stay known, see
+    // FailureDetector::can_forget().
+    std::size_t kept = 0;
+    for (Machine* machine : awaiting_reply_) {
+        if (machine->open_request &&
+            !(machine->reply_held_open && ctx_.now.steady < machine->reply_deadline)) {
+            send_if_due(*machine);
+        }
+        machine->awaiting_reply = machine->open_request.has_value();
+        if (machine->awaiting_reply) {
+            awaiting_reply_[kept++] = machine;
+        }
+    }
+    awaiting_reply_.resize(kept);
+}
+
+void HeartbeatReplies::send_if_due(Machine& machine) {
+    if (!machine.open_request) {
+        return;
+    }
+    bool overdue = ctx_.now.steady >= machine.reply_deadline;
+    if (!overdue && machine.claims_in_flight > 0) {
+        return;
+    }
+    // Something to say: say it now.
+    bool start_due = false;
+    bool news_expected = false;  // whether the worker may soon have something to report
+    for (const auto& [id, on] : registry_.site(machine).tasks) {
+        auto status = machine.tasks.find({id, on.place->attempt});
+        start_due = start_due ||
+                    (status == machine.tasks.end() && registry_.should_start(machine, *on.job));
+        news_expected = news_expected || on.job->cancelled ||
+                        on.job->spec.kind != JobKind::service || status == machine.tasks.end() ||
+                        status->second.state != TaskState::running;
+    }
+    if (start_due && !overdue && !membership_.may_start_tasks()) {
+        return;  // the next reply of the key-value store is a moment away
+    }
+    bool has_room_to_offer = !start_due && registry_.usable(machine);
+    if (has_room_to_offer && !overdue && !machine.seen_by_scheduler) {
+        return;  // the next round is a moment away
+    }
+    news_expected = news_expected || machine.tasks.size() > registry_.site(machine).tasks.size();
+    if (has_room_to_offer && !news_expected && !overdue &&
+        registry_.room(machine).cpus > Resources::slack) {
+        // Nothing ends there by itself, so the worker has nothing to report: its reply is held
+        // open for a while, and a job that comes meanwhile starts without waiting for a heartbeat.
+        machine.reply_deadline =
+            std::max(machine.reply_deadline, machine.last_heartbeat_at + constants::idle_hold_s);
+        machine.reply_held_open = true;
+        return;
+    }
+    send(machine);
+}
+
+}  // namespace cranemoor::core
--- a/src/core/agents/machine.hpp
+++ b/src/core/agents/machine.hpp
@@ -29,7 +29,7 @@
 
 /// An image that a machine is thought to have cached.
 struct CachedImage {
-    int number = 0;      // see image_number()
+    int number = 0;      // see AgentRegistry::image_number()
     double size_gb = 0;  // size in GB
 };
 
@@ -89,12 +89,12 @@
     int claims_in_flight = 0;        // claims under way for it
     bool seen_by_scheduler = false;  // a scheduler round has seen it since that heartbeat
 
-    // Room left, counted anew after a change; see Fleet::room.
+    // Room left, counted anew after a change; see AgentRegistry::room.
     mutable Resources room;
     mutable bool room_known = false;
     mutable std::vector<int> images_pulling;  // images that its tasks wait for, as of then
 
-    // What the job records say of it, as of load number site_of; see Fleet::site.
+    // What the job records say of it, as of load number site_of; see AgentRegistry::site.
     mutable std::shared_ptr<const Jobs::Site> site;
     mutable std::uint64_t site_of = 0;
 
--- /dev/null
+++ b/src/core/agents/machine_adoption.cpp
@@ -0,0 +1,109 @@
+#include "core/agents/machine_adoption.hpp"
+
+#include <algorithm>
+
+namespace cranemoor::core {
+
+namespace {
+// Commands sent to raise one machine's fencing token: the first may name an outdated agent epoch.
+constexpr int raise_attempts = 2;
+}  // namespace
+
+void MachineAdoption::epoch_changed(const std::optional<Epoch>& before) {
+    const auto& epoch = ctx_.jobs.epoch();
+    // Only from one epoch to the next is it certain that nobody else owned a machine between.
+    bool consecutive = before && epoch && epoch->number == before->number + 1 && ctx_.member &&
+                       before->has(ctx_.me.id);
+    int taken_over = 0;
+    for (Machine* machine : registry_.all()) {
+        bool owned = membership_.owned_by_us(machine->name, machine->zone);
+        machine->room_known = false;
+        if (owned && machine->owned_by_us && consecutive) {
+            continue;
+        }
+        if (machine->open_request && !owned) {
+            machine->owned_by_us = false;
+            replies_.send(*machine);
+        }
+        machine->owned_by_us = owned;
+        machine->adopted = false;
+        pending_exits_.forget(machine->name);
+        machine->starts_sent.clear();
+        machine->seen_running.clear();
+        machine->pending_stops.clear();
+        if (owned) {
+            machine->owned_since = ctx_.now.steady;
+            machine->probe_failures = 0;
+            ++taken_over;
+            token_raise_queue_.push_back(machine->name);
+        }
+    }
+    if (taken_over > 0) {
+        ctx_.info("epoch {}: took over {} machines", ctx_.fencing_token, taken_over);
+    }
+}
+
+void MachineAdoption::queue_token_raises(const std::vector<std::string>& names) {
+    token_raise_queue_.insert(token_raise_queue_.end(), names.begin(), names.end());
+}
+
+// A few at a time: hundreds of connections at once would cost a slow controller seconds, while
+// its other workers and its lease wait. Those whose heartbeats come meanwhile are adopted that way.
+void MachineAdoption::raise_queued_tokens() {
+    for (int i = 0; i < constants::raise_per_tick && !token_raise_queue_.empty(); ++i) {
+        Machine* machine = registry_.find(token_raise_queue_.front());
+        token_raise_queue_.pop_front();
+        if (machine != nullptr && machine->owned_by_us && !machine->adopted) {
+            raise_token(*machine, raise_attempts);
+        }
+    }
+}
+
+void MachineAdoption::raise_token(Machine& machine, int attempts) {
+    if (machine.address.empty() || attempts == 0 || registry_.site(machine).mark) {
+        return;
+    }
+    OrderCall call;
+    call.machine = machine.name;
+    call.address = machine.address;
+    call.token = ctx_.fencing_token;
+    call.session = std::max<std::uint64_t>(machine.agent_epoch, 1);
+    Token token = ctx_.fencing_token;
+    ctx_.order(call, [this, name = machine.name, token, attempts](const OrderReply& reply) {
+        Machine* machine = registry_.find(name);
+        if (machine == nullptr || !reply.report || !machine->owned_by_us ||
+            token != ctx_.fencing_token || machine->adopted) {
+            return;
+        }
+        on_token_reply(*machine, *reply.report, attempts);
+    });
+}
+
+void MachineAdoption::on_token_reply(Machine& machine, const Report& report, int attempts) {
+    if (AgentRegistry::is_stale(machine, report)) {
+        return;
+    }
+    registry_.apply_heartbeat(machine, report);
+    if (report.token != ctx_.fencing_token) {
+        raise_token(machine, attempts - 1);  // its agent epoch was another than we thought
+        return;
+    }
+    machine.adopted = true;
+    machine.last_heartbeat_at = ctx_.now.steady;
+    log_adopted(machine);
+    reconciliation_.reconcile(machine, false);
+}
+
+void MachineAdoption::adopt_on_heartbeat(Machine& machine, const Report& report) {
+    if (report.token == ctx_.fencing_token && !machine.adopted) {
+        machine.adopted = true;
+        log_adopted(machine);
+    }
+}
+
+void MachineAdoption::log_adopted(const Machine& machine) {
+    ctx_.info("machine {}: adopted in session {} with {} tasks", machine.name, machine.agent_epoch,
+              machine.tasks.size());
+}
+
+}  // namespace cranemoor::core
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <iterator>
 
-#include "core/agents/fleet.hpp"
 #include "core/jobs/job_completion.hpp"
 
 namespace cranemoor::core {
@@ -84,14 +83,14 @@
     // A machine that nothing else runs on is room for a gang, as soon as all members know. On one
     // that goes, what is not told in time would be taken for lost.
     for (const auto& [index, o] : pending.tasks) {
-        const Machine* m = fleet_.find(o.machine);
+        const Machine* m = registry_.find(o.machine);
         if (m != nullptr &&
-            (fleet_.vacated(*m) || m->interruption_deadline || ctx_.jobs.mark(m->name))) {
+            (registry_.vacated(*m) || m->interruption_deadline || ctx_.jobs.mark(m->name))) {
             return true;
         }
     }
     return std::none_of(block.placed.begin(), block.placed.end(), [&](const auto& t) {
-        const Machine* m = fleet_.find(t.second.machine);
+        const Machine* m = registry_.find(t.second.machine);
         return m != nullptr && m->owned_by_us && pending.tasks.count(t.first) == 0;
     });
 }
--- a/src/core/agents/pending_task_exits.hpp
+++ b/src/core/agents/pending_task_exits.hpp
@@ -9,14 +9,13 @@
 #include <utility>
 #include <vector>
 
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/batched_claims.hpp"
 #include "core/quota/quota.hpp"
 
 namespace cranemoor::core {
 
-class Fleet;
-
 /// Task exits known to this controller and not yet durable, by job and block.
 class PendingTaskExits {
   public:
@@ -29,11 +28,11 @@
         bool error = false;         // the task itself failed
     };
 
-    /// `fleet` tells which machines are owned by this controller; `batched_claims` writes the
+    /// `registry` tells which machines are owned by this controller; `batched_claims` writes the
     /// exits of batched jobs.
-    PendingTaskExits(Context& ctx, const Quota& quota, const Fleet& fleet,
+    PendingTaskExits(Context& ctx, const Quota& quota, const AgentRegistry& registry,
                      BatchedClaims& batched_claims)
-        : ctx_(ctx), quota_(quota), fleet_(fleet), batched_claims_(batched_claims) {}
+        : ctx_(ctx), quota_(quota), registry_(registry), batched_claims_(batched_claims) {}
 
     /// Records the exit of task `id`. Ignored for an unknown job and for an attempt already held.
     void add(const TaskId& id, const TaskExit& task_exit);
@@ -75,7 +74,7 @@
 
     Context& ctx_;
     const Quota& quota_;
-    const Fleet& fleet_;
+    const AgentRegistry& registry_;
     BatchedClaims& batched_claims_;
     bool batched_write_in_flight_ = false;
     double next_batched_write_s_ = 0;  // steady time before which no batched write starts
--- /dev/null
+++ b/src/core/agents/release_marks.cpp
@@ -0,0 +1,66 @@
+#include "core/agents/release_marks.hpp"
+
+#include <utility>
+
+namespace cranemoor::core {
+
+void ReleaseMarks::mark(Machine& machine, const std::string& why, bool fence) {
+    const Mark* existing = ctx_.jobs.mark(machine.name);
+    if (machine.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
+        (existing != nullptr && (existing->fence || !fence))) {
+        return;
+    }
+    machine.release_mark_pending = true;
+    pending_[{why, fence}].insert(machine.name);
+    ctx_.info("machine {}: to be returned ({})", machine.name, why);
+}
+
+void ReleaseMarks::write() {
+    auto waiting = std::exchange(pending_, {});
+    Batch batch;
+    batch.txn.purpose = Txn::Purpose::mark;
+    for (const auto& [reason, names] : waiting) {
+        Marks marks;
+        marks.why = reason.why;
+        marks.fence = reason.fence;
+        auto next = names.begin();
+        while (next != names.end()) {
+            marks.machines.clear();
+            // Each name stands there twice once its machine is gone.
+            std::size_t bytes = constants::marks_frame_bytes + reason.why.size();
+            while (next != names.end() && marks.machines.size() < constants::release_max &&
+                   (marks.machines.empty() || bytes + mark_bytes(*next) <= ctx_.value_max())) {
+                bytes += mark_bytes(*next);
+                marks.machines.insert(*next);
+                batch.machines.insert(*next);
+                ++next;
+            }
+            auto key = keys::marks(ctx_.me.id, ++ctx_.marks_made);
+            batch.txn.conditions.push_back({key, 0});
+            batch.txn.writes.push_back({key, encode(marks)});
+            if (batch.txn.writes.size() >= ctx_.ops_max()) {
+                send(batch);
+            }
+        }
+    }
+    send(batch);
+}
+
+void ReleaseMarks::send(Batch& batch) {
+    if (batch.txn.writes.empty()) {
+        return;
+    }
+    batch.txn.conditions.push_back(ctx_.epoch_condition());
+    auto on_reply = [this, machines = std::exchange(batch.machines, {})](const StateReply& reply) {
+        ctx_.when_settled(reply, [this, machines] {
+            for (const auto& name : machines) {
+                if (Machine* machine = registry_.find(name)) {
+                    machine->release_mark_pending = false;
+                }
+            }
+        });
+    };
+    ctx_.txn(std::exchange(batch.txn, {}), on_reply);
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/agents/release_marks.hpp
@@ -0,0 +1,53 @@
+// ReleaseMarks: marks machines for release in the key-value store (cordon). A marked machine gets
+// no new tasks, and the leader releases it: once it is empty, or at once if it is to be fenced.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <tuple>
+
+#include "core/agents/agent_registry.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+
+namespace cranemoor::core {
+
+/// The release marks that this controller makes, collected and written once per tick.
+class ReleaseMarks {
+  public:
+    /// `ctx`, `membership` and `registry` must outlive this object.
+    ReleaseMarks(Context& ctx, const Membership& membership, AgentRegistry& registry)
+        : ctx_(ctx), membership_(membership), registry_(registry) {}
+
+    /// Marks the machine for release (`fence`: also for fencing); `why` goes to the record and
+    /// the log. Does nothing while this controller can't write, or if such a mark exists already.
+    void mark(Machine& machine, const std::string& why, bool fence);
+    /// Writes the marks made since the last call: one record for each reason, or several if it
+    /// would grow too large.
+    void write();
+
+  private:
+    // Machines are marked by one record if they share these.
+    struct Reason {
+        std::string why;
+        bool fence = false;
+        friend bool operator<(const Reason& a, const Reason& b) {
+            return std::tie(a.why, a.fence) < std::tie(b.why, b.fence);
+        }
+    };
+    // A transaction that is being filled, and the machines that it marks.
+    struct Batch {
+        Txn txn;
+        std::set<std::string> machines;
+    };
+
+    void send(Batch& batch);
+
+    Context& ctx_;
+    const Membership& membership_;
+    AgentRegistry& registry_;
+    std::map<Reason, std::set<std::string>> pending_;
+};
+
+}  // namespace cranemoor::core
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -66,7 +66,7 @@
             list.push_back({m, "", type, zone, spot, ListedState::starting, age_s});
         }
     }
-    fleet_.apply_cloud_listing(list);
+    agent_manager_.apply_cloud_listing(list);
 }
 
 void Autoscaler::tell(const std::vector<RentalNotice>& notices) const {
@@ -91,7 +91,7 @@
     if (!list_open_ && t >= next_list_) {
         // As often as the list is renewed, and no more pages than a share of the calls allows.
         bool leading = membership_.is_leader();
-        double pages = 1 + std::floor(static_cast<double>(fleet_.machines().size()) /
+        double pages = 1 + std::floor(static_cast<double>(agents_.machines().size()) /
                                       constants::machines_page);
         double calls = ctx_.settings.cloud_rps *
                        (leading ? constants::list_share : constants::list_share_others);
@@ -101,7 +101,7 @@
         list("");
     }
     release_unwritten();
-    if (!membership_.is_leader() || !membership_.has_store_contact() || fleet_.types().empty()) {
+    if (!membership_.is_leader() || !membership_.has_store_contact() || agents_.types().empty()) {
         return;
     }
     release();
@@ -131,7 +131,7 @@
     ctx_.cloud(call, [this](const CloudReply& r) {
         types_open_ = false;
         if (r.status == CloudReply::Status::ok) {
-            fleet_.set_machine_types(r.types);
+            agents_.set_machine_types(r.types);
             next_types_ = ctx_.now.steady + constants::types_every_s;
         } else {
             next_types_ = ctx_.now.steady + 1;
@@ -149,7 +149,7 @@
         if (r.status != CloudReply::Status::ok) {
             return;
         }
-        fleet_.apply_cloud_listing(r.listed);
+        agent_manager_.apply_cloud_listing(r.listed);
         if (r.more && !r.listed.empty()) {
             list(r.listed.back().name);
         } else {
@@ -209,7 +209,7 @@
     next_unwritten_ = ctx_.now.steady + constants::release_unwritten_s;
     CloudCall call;
     call.kind = CloudCall::Kind::release;
-    for (const auto& name : fleet_.overdue_and_silent()) {
+    for (const auto& name : agent_manager_.failure_detector().overdue_and_silent()) {
         if (released_unwritten_.count(name) == 0 && call.machines.size() < constants::release_max) {
             call.machines.push_back(name);
         }
@@ -322,7 +322,7 @@
         double since = gone_since_.try_emplace(key, ctx_.now.steady).first->second;
         bool over = ctx_.now.steady - since > constants::gone_mark_s;
         for (const auto& name : marks.machines) {
-            Machine* m = fleet_.find(name);
+            Machine* m = agents_.find(name);
             bool listed =
                 m != nullptr && ctx_.now.steady - m->listed_at < constants::gone_mark_s / 2;
             over = over && !listed && ctx_.jobs.on_machine(name).empty();
@@ -351,8 +351,9 @@
 int Autoscaler::headroom() const {
     // About as many machines become free as are asked for; what must be kept is the swing, which
     // is large where one job takes many machines.
-    auto [sum, squares] = fleet_.whole_machine_arrivals(ctx_.now.wall - constants::arrivals_s);
-    double swing = std::sqrt(squares / constants::arrivals_s * fleet_.longest_boot_s());
+    auto [sum, squares] =
+        agent_manager_.job_arrivals().whole_machine_arrivals(ctx_.now.wall - constants::arrivals_s);
+    double swing = std::sqrt(squares / constants::arrivals_s * agents_.longest_boot_s());
     double asked = std::min(sum, swing * constants::headroom_margin);
     return static_cast<int>(std::ceil(std::min(asked, ctx_.tunables.headroom_machines)));
 }
@@ -360,22 +361,22 @@
 void Autoscaler::return_idle() {
     double t = ctx_.now.steady;
     // Machines that never came up are charged until they are given back.
-    for (Machine* each : fleet_.all()) {
+    for (Machine* each : agents_.all()) {
         Machine& m = *each;
-        const MachineType* type = fleet_.type(m.type);
-        if (type == nullptr || m.up() || fleet_.site(m).mark) {
+        const MachineType* type = agents_.type(m.type);
+        if (type == nullptr || m.up() || agents_.site(m).mark) {
             continue;
         }
         bool starting = m.listed_state == ListedState::starting;
         if (starting && t - m.launched_at > type->boot_s * constants::boot_dead_factor) {
-            fleet_.mark_for_release(m, "never came up", true);
+            agent_manager_.release_marks().mark(m, "never came up", true);
         }
     }
     std::vector<Machine*> empty;
-    for (Machine* each : fleet_.all()) {
+    for (Machine* each : agents_.all()) {
         Machine& m = *each;
-        if (m.up() && !m.release_mark_pending && !fleet_.site(m).mark && m.empty_since >= 0 &&
-            fleet_.site(m).tasks.empty()) {
+        if (m.up() && !m.release_mark_pending && !agents_.site(m).mark && m.empty_since >= 0 &&
+            agents_.site(m).tasks.empty()) {
             empty.push_back(&m);
         }
     }
@@ -383,10 +384,10 @@
         next_word_ = t + constants::fleet_word_every_s;
         int up = 0;
         double free = 0;
-        for (const auto& [name, m] : fleet_.machines()) {
-            bool counts = m.up() && !m.release_confirmed && !fleet_.site(m).mark;
+        for (const auto& [name, m] : agents_.machines()) {
+            bool counts = m.up() && !m.release_confirmed && !agents_.site(m).mark;
             up += counts ? 1 : 0;
-            free += counts && !fleet_.site(m).tasks.empty() ? fleet_.room(m).gpus : 0;
+            free += counts && !agents_.site(m).tasks.empty() ? agents_.room(m).gpus : 0;
         }
         ctx_.info(
             "fleet: {} machines up, {} of them empty, {} to keep so, {:.0f} GPUs free beside "
@@ -406,7 +407,7 @@
         }
         double since = std::max(m->empty_since, m->launched_at);
         if (t - since > ctx_.tunables.idle_return_s) {
-            fleet_.mark_for_release(*m, "idle", false);
+            agent_manager_.release_marks().mark(*m, "idle", false);
         }
     }
 }
@@ -415,21 +416,21 @@
 
 std::vector<Autoscaler::Bin> Autoscaler::bins() const {
     std::vector<Bin> list;
-    for (const auto& [name, m] : fleet_.machines()) {
-        const MachineType* type = fleet_.type(m.type);
-        if (type == nullptr || m.interruption_deadline || fleet_.site(m).mark ||
-            fleet_.zone_partitioned(m.zone) || m.listed_state == ListedState::failed) {
+    for (const auto& [name, m] : agents_.machines()) {
+        const MachineType* type = agents_.type(m.type);
+        if (type == nullptr || m.interruption_deadline || agents_.site(m).mark ||
+            agents_.zone_partitioned(m.zone) || m.listed_state == ListedState::failed) {
             continue;
         }
         double age = ctx_.now.steady - m.launched_at;
         if (!m.up() && age > type->boot_s * constants::boot_late_factor) {
             continue;  // it may still come, but nobody should wait for it
         }
-        list.push_back({m.zone, m.type, m.spot, fleet_.site(m).tasks.empty(), fleet_.room(m)});
+        list.push_back({m.zone, m.type, m.spot, agents_.site(m).tasks.empty(), agents_.room(m)});
     }
     for (const auto& r : rentals_) {
         const auto& [type, zone, spot] = r.kind;
-        if (const MachineType* t = fleet_.type(type)) {
+        if (const MachineType* t = agents_.type(type)) {
             for (int i = 0; i < r.count; ++i) {
                 list.push_back({zone, type, spot, true, t->size});
             }
@@ -444,7 +445,7 @@
 
 const MachineType* Autoscaler::cheapest(const JobSpec& spec) const {
     const MachineType* best = nullptr;
-    for (const auto& t : fleet_.types()) {
+    for (const auto& t : agents_.types()) {
         bool ok = !spec.types ||
                   std::find(spec.types->begin(), spec.types->end(), t.name) != spec.types->end();
         if (ok && spec.each.fits_in(t.size) && (best == nullptr || t.price < best->price)) {
@@ -458,11 +459,11 @@
                                                  const std::optional<std::string>& only,
                                                  std::map<std::string, int>& load,
                                                  const std::set<std::string>& barred) const {
-    const MachineType* t = fleet_.type(type);
+    const MachineType* t = agents_.type(type);
     std::optional<std::string> best;
     for (const auto& zone : t->zones) {
         auto full = no_capacity_until_.find({type, zone, spot});
-        if ((only && *only != zone) || fleet_.zone_partitioned(zone) || barred.count(zone) != 0 ||
+        if ((only && *only != zone) || agents_.zone_partitioned(zone) || barred.count(zone) != 0 ||
             (full != no_capacity_until_.end() && full->second > ctx_.now.steady)) {
             continue;
         }
@@ -579,7 +580,7 @@
     const JobSpec& s = *need.spec;
     bool type_ok =
         !s.types || std::find(s.types->begin(), s.types->end(), b.type) != s.types->end();
-    const MachineType* t = fleet_.type(b.type);
+    const MachineType* t = agents_.type(b.type);
     bool scraps = need.idle_work && !b.spot && s.each.gpus <= 0 && t != nullptr;
     return type_ok && (!b.spot || s.spot) && (!need.cheap || b.spot || !b.empty) &&
            s.each.fits_in(scraps ? PlacementConstraints::leftover_room(*t, b.room) : b.room);
@@ -652,7 +653,7 @@
 
 const MachineType* Autoscaler::base_type() const {
     const MachineType* base = nullptr;
-    for (const auto& t : fleet_.types()) {
+    for (const auto& t : agents_.types()) {
         base = base == nullptr || t.price < base->price ? &t : base;
     }
     return base;
@@ -680,11 +681,11 @@
     const MachineType* base = base_type();
     double cheap = 0;
     for (const auto& b : plan.free) {
-        const MachineType* t = fleet_.type(b.type);
+        const MachineType* t = agents_.type(b.type);
         cheap += b.spot && t != nullptr && t->size.cpus > 0 ? b.room.cpus / t->size.cpus : 0;
     }
     if (base != nullptr && cheap < constants::cheap_headroom &&
-        fleet_.spot_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
+        agent_manager_.job_arrivals().spot_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
         if (auto zone = pick_zone(base->name, true, std::nullopt, plan.load)) {
             plan.wanted[{base->name, *zone, true}]++;
         }
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_manager.hpp"
 #include "core/context/context.hpp"
 #include "core/membership/membership.hpp"
 #include "core/quota/quota.hpp"
@@ -19,11 +19,12 @@
 
 class Autoscaler {
   public:
-    Autoscaler(Context& ctx, Membership& membership, Fleet& fleet, Scheduler& scheduler,
-               Quota& quota, const PendingQueue& flows)
+    Autoscaler(Context& ctx, Membership& membership, AgentManager& agent_manager,
+               Scheduler& scheduler, Quota& quota, const PendingQueue& flows)
         : ctx_(ctx),
           membership_(membership),
-          fleet_(fleet),
+          agent_manager_(agent_manager),
+          agents_(agent_manager.registry()),
           scheduler_(scheduler),
           quota_(quota),
           pending_queue_(flows) {}
@@ -113,7 +114,8 @@
 
     Context& ctx_;
     Membership& membership_;
-    Fleet& fleet_;
+    AgentManager& agent_manager_;
+    AgentRegistry& agents_;
     Scheduler& scheduler_;
     Quota& quota_;
     const PendingQueue& pending_queue_;
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -7,19 +7,21 @@
       membership_(ctx_),
       quota_(ctx_),
       batched_claims_(ctx_),
-      fleet_(ctx_, membership_, quota_, batched_claims_),
-      pending_queue_(ctx_, fleet_),
-      admission_table_sync_(ctx_, membership_, fleet_),
-      scheduler_(ctx_, membership_, fleet_, quota_, pending_queue_, batched_claims_),
-      preemption_(ctx_, membership_, fleet_, scheduler_, quota_, pending_queue_),
-      autoscaler_(ctx_, membership_, fleet_, scheduler_, quota_, pending_queue_),
+      agent_manager_(ctx_, membership_, quota_, batched_claims_),
+      pending_queue_(ctx_, agent_manager_.registry(), agent_manager_.job_failures()),
+      admission_table_sync_(ctx_, membership_, agent_manager_.registry()),
+      scheduler_(ctx_, membership_, agent_manager_.registry(), agent_manager_.pending_exits(),
+                 agent_manager_.replies(), quota_, pending_queue_, batched_claims_),
+      preemption_(ctx_, membership_, agent_manager_.registry(), agent_manager_.gang_preemption(),
+                  agent_manager_.task_stops(), scheduler_, quota_, pending_queue_),
+      autoscaler_(ctx_, membership_, agent_manager_, scheduler_, quota_, pending_queue_),
       job_completion_(ctx_, membership_),
       dependencies_(ctx_, membership_),
-      requests_(ctx_, membership_, fleet_, quota_, dependencies_),
+      requests_(ctx_, membership_, agent_manager_.registry(), quota_, dependencies_),
       oversized_block_split_(ctx_) {
     membership_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
         if (epoch_changed) {
-            fleet_.epoch_changed(before);
+            agent_manager_.epoch_changed(before);
             scheduler_.epoch_changed();
             autoscaler_.epoch_changed();
         }
@@ -32,7 +34,7 @@
         }
         scheduler_.records_changed(touched);
         preemption_.records_changed(touched);
-        fleet_.records_changed(touched);
+        agent_manager_.records_changed(touched);
     };
 }
 
@@ -56,7 +58,7 @@
     pending_queue_.tick();
     oversized_block_split_.tick();
     dependencies_.tick();
-    fleet_.tick();
+    agent_manager_.tick();
     job_completion_.tick();
     scheduler_.tick();
     preemption_.tick();
@@ -88,12 +90,12 @@
 
 bool Controller::healthy(Now now) {
     ctx_.now = now;
-    return membership_.healthy() && !fleet_.types().empty();
+    return membership_.healthy() && !agent_manager_.registry().types().empty();
 }
 
 void Controller::report(Now now, std::uint64_t request, const Report& report, bool relayed) {
     ctx_.now = now;
-    fleet_.handle_heartbeat(request, report, relayed);
+    agent_manager_.handle_heartbeat(request, report, relayed);
 }
 
 // A report that is relayed comes by itself, through report().
--- a/src/core/controller/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_manager.hpp"
 #include "core/autoscaling/autoscaler.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/batched_claims.hpp"
@@ -50,14 +50,14 @@
     std::vector<Action> take();
 
     const Context& context() const { return ctx_; }
-    Fleet& fleet() { return fleet_; }
+    AgentManager& agent_manager() { return agent_manager_; }
 
   private:
     Context ctx_;
     Membership membership_;
     Quota quota_;
     BatchedClaims batched_claims_;
-    Fleet fleet_;
+    AgentManager agent_manager_;
     PendingQueue pending_queue_;
     AdmissionTableSync admission_table_sync_;
     Scheduler scheduler_;
--- a/src/core/requests/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -42,7 +42,7 @@
     }
     count = {0, ctx_.now.steady + constants::count_every_s};
     job.each_placement([&](int task, const Placement& p) {
-        const Machine* m = fleet_.find(p.machine);
+        const Machine* m = agents_.find(p.machine);
         // What other members' machines do is not known here; a place counts as running.
         bool known = m != nullptr && m->owned_by_us && m->adopted;
         auto t =
@@ -307,7 +307,7 @@
         return "unknown team";
     }
     bool fits = false;
-    for (const auto& t : fleet_.types()) {
+    for (const auto& t : agents_.types()) {
         bool type_ok =
             !s.types || std::find(s.types->begin(), s.types->end(), t.name) != s.types->end();
         bool zone_ok =
@@ -330,7 +330,7 @@
 }
 
 void Requests::submit(std::uint64_t request, const JobSpec& spec) {
-    if (!ctx_.member || fleet_.types().empty()) {
+    if (!ctx_.member || agents_.types().empty()) {
         busy(request, spec.uid);
         return;
     }
@@ -525,7 +525,7 @@
     if (record.spec.types && bytes_of(record) > ctx_.value_max()) {
         // A list of many types is cut to those that can be rented.
         std::erase_if(*record.spec.types,
-                      [&](const std::string& t) { return fleet_.type(t) == nullptr; });
+                      [&](const std::string& t) { return agents_.type(t) == nullptr; });
     }
     return record;
 }
--- a/src/core/requests/requests.hpp
+++ b/src/core/requests/requests.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "admission/admission_controller.hpp"
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/dependencies.hpp"
 #include "core/membership/membership.hpp"
@@ -24,11 +24,11 @@
 
 class Requests {
   public:
-    Requests(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
+    Requests(Context& ctx, Membership& membership, const AgentRegistry& agents, Quota& quota,
              const Dependencies& dependencies)
         : ctx_(ctx),
           membership_(membership),
-          fleet_(fleet),
+          agents_(agents),
           quota_(quota),
           dependencies_(dependencies),
           look_ups_(ctx.settings.state_rps * constants::look_up_share,
@@ -112,7 +112,7 @@
 
     Context& ctx_;
     Membership& membership_;
-    Fleet& fleet_;
+    const AgentRegistry& agents_;
     Quota& quota_;
     const Dependencies& dependencies_;
     std::map<std::uint64_t, Waiting> open_;
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -6,10 +6,10 @@
 namespace cranemoor::core {
 
 AdmissionTableSync::AdmissionTableSync(Context& ctx, const Membership& membership,
-                                       const Fleet& fleet)
+                                       const AgentRegistry& agents)
     : ctx_(ctx),
       membership_(membership),
-      fleet_(fleet),
+      agents_(agents),
       write_scarcity_({constants::writes_short_s, constants::writes_short_for_s,
                        constants::writes_calm_s, constants::writes_calm_share,
                        constants::writes_calm_for_s}) {}
@@ -67,9 +67,9 @@
     for (const auto& m : ctx_.jobs.epoch()->members) {
         machines[m.id] = 0;
     }
-    for (const auto& [name, m] : fleet_.machines()) {
+    for (const auto& [name, m] : agents_.machines()) {
         const Member* owner = membership_.owner(name, m.zone);
-        if (owner != nullptr && fleet_.in_use(m)) {
+        if (owner != nullptr && agents_.in_use(m)) {
             machines[owner->id]++;
         }
     }
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -9,7 +9,7 @@
 
 #include "admission/hysteresis_switch.hpp"
 #include "admission/table.hpp"
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/membership/membership.hpp"
 
@@ -17,9 +17,9 @@
 
 class AdmissionTableSync {
   public:
-    /// `membership` tells whether this controller leads; `fleet` which machines each controller
+    /// `membership` tells whether this controller leads; `agents` which machines each controller
     /// owns.
-    AdmissionTableSync(Context& ctx, const Membership& membership, const Fleet& fleet);
+    AdmissionTableSync(Context& ctx, const Membership& membership, const AgentRegistry& agents);
 
     /// Keeps the latest pressure sample received from controller `peer` (by name).
     void on_pressure_sample(const std::string& peer, const PressureSample& sample);
@@ -40,7 +40,7 @@
 
     Context& ctx_;
     const Membership& membership_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
     std::map<std::string, PeerSample> samples_by_peer_;  // by member's name
     admission::HysteresisSwitch write_scarcity_;         // hysteresis on whether writes are scarce
     bool write_in_flight_ = false;
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -159,7 +159,7 @@
         in_flight.machines.insert(share.machine);
     }
     for (const auto& name : in_flight.machines) {
-        if (Machine* machine = fleet_.find(name)) {
+        if (Machine* machine = agents_.find(name)) {
             machine->claims_in_flight++;
         }
     }
@@ -211,10 +211,10 @@
         }
     }
     for (const auto& name : in_flight.machines) {
-        Machine* machine = fleet_.find(name);
+        Machine* machine = agents_.find(name);
         if (machine != nullptr) {
             machine->claims_in_flight--;
-            fleet_.reply_if_due(*machine);
+            replies_.send_if_due(*machine);
         }
     }
 }
--- a/src/core/scheduling/claim_writer.hpp
+++ b/src/core/scheduling/claim_writer.hpp
@@ -10,7 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
+#include "core/agents/heartbeat_replies.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/batched_claims.hpp"
 #include "core/quota/quota.hpp"
@@ -28,8 +29,13 @@
 class ClaimWriter {
   public:
     /// All arguments must outlive this object.
-    ClaimWriter(Context& ctx, Fleet& fleet, Quota& quota, BatchedClaims& batched_claims)
-        : ctx_(ctx), fleet_(fleet), quota_(quota), batched_claims_(batched_claims) {}
+    ClaimWriter(Context& ctx, AgentRegistry& agents, HeartbeatReplies& replies, Quota& quota,
+                BatchedClaims& batched_claims)
+        : ctx_(ctx),
+          agents_(agents),
+          replies_(replies),
+          quota_(quota),
+          batched_claims_(batched_claims) {}
 
     /// Whether claims wait for the write limit of the key-value store.
     bool is_write_limited() const { return blocks_in_flight_ >= constants::claim_blocks; }
@@ -103,7 +109,8 @@
     bool is_undecided(const Claim& claim) const;
 
     Context& ctx_;
-    Fleet& fleet_;
+    AgentRegistry& agents_;
+    HeartbeatReplies& replies_;
     Quota& quota_;
     BatchedClaims& batched_claims_;
     std::map<std::string, Resources> claimed_;  // by machine
--- a/src/core/scheduling/delay_scheduling.cpp
+++ b/src/core/scheduling/delay_scheduling.cpp
@@ -35,7 +35,7 @@
 
 double DelayScheduling::longest_wait_s(const Machine& machine, const JobSpec& spec,
                                        bool fetch_contended) const {
-    const MachineType* type = fleet_.type(machine.type);
+    const MachineType* type = agents_.type(machine.type);
     double fetch_s =
         type != nullptr && type->fetch_gb_per_s > 0 ? spec.image_gb / type->fetch_gb_per_s : 0;
     // The wait is lost for sure, what it may save is the fetch, and that is a chance: it pays only
--- a/src/core/scheduling/delay_scheduling.hpp
+++ b/src/core/scheduling/delay_scheduling.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 
 namespace cranemoor::core {
@@ -29,8 +29,8 @@
         bool is_skipped = false;
     };
 
-    /// `ctx` and `fleet` must outlive this object.
-    DelayScheduling(const Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
+    /// `ctx` and `agents` must outlive this object.
+    DelayScheduling(const Context& ctx, const AgentRegistry& agents) : ctx_(ctx), agents_(agents) {}
 
     /// Adds the time since the last round to the wait of each job that was skipped in it.
     void begin_round(double elapsed_s);
@@ -51,7 +51,7 @@
 
   private:
     const Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
     std::unordered_map<std::string, JobState> states_;  // by job
     std::vector<std::string> skipped_;                  // jobs skipped in the last round
 };
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -32,7 +32,7 @@
 
 GangPlacement::Places GangPlacement::find(SchedulingRound& round, const Job& job) const {
     const JobSpec& spec = job.spec;
-    int image = fleet_.image_number(spec.image);
+    int image = agents_.image_number(spec.image);
     // By zone; of a gang that needn't stay in one zone, all under one name.
     std::map<std::string, std::vector<Candidate>> candidates_by_zone;
     for (auto& offer : round.offers) {
@@ -40,7 +40,7 @@
             !constraints_.allows(job, *offer.machine)) {
             continue;
         }
-        bool has_image = spec.image_gb <= 0 || Fleet::has_image(*offer.machine, image);
+        bool has_image = spec.image_gb <= 0 || AgentRegistry::has_image(*offer.machine, image);
         candidates_by_zone[spec.together ? offer.machine->zone : ""].push_back(
             {&offer, has_image, MachineScoring::score_for_gang(offer)});
     }
--- a/src/core/scheduling/gang_placement.hpp
+++ b/src/core/scheduling/gang_placement.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/scheduling/placement_constraints.hpp"
 #include "core/scheduling/scheduling_round.hpp"
@@ -25,8 +25,9 @@
     };
 
     /// All arguments must outlive this object.
-    GangPlacement(const Context& ctx, const Fleet& fleet, const PlacementConstraints& constraints)
-        : ctx_(ctx), fleet_(fleet), constraints_(constraints) {}
+    GangPlacement(const Context& ctx, const AgentRegistry& agents,
+                  const PlacementConstraints& constraints)
+        : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
     /// The gang's blocks with the number of its next attempt, by block; empty if it can't be
     /// claimed now: a write of one of its blocks is in flight, some task is placed or done, or it
@@ -42,7 +43,7 @@
     static Places fill(const std::vector<Candidate>& candidates, const JobSpec& spec);
 
     const Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
     const PlacementConstraints& constraints_;
 };
 
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -72,8 +72,8 @@
 }
 
 bool GangReservations::is_reservable(const Machine& machine, const Job& job) const {
-    const MachineType* type = fleet_.type(machine.type);
-    return machine.owned_by_us && find(machine.name) == nullptr && fleet_.usable(machine) &&
+    const MachineType* type = agents_.type(machine.type);
+    return machine.owned_by_us && find(machine.name) == nullptr && agents_.usable(machine) &&
            type != nullptr && job.spec.each.fits_in(type->size) &&
            constraints_.allows(job, machine);
 }
@@ -82,16 +82,16 @@
 std::vector<GangReservations::Reservable> GangReservations::reservable_machines(
     const Job& job) const {
     std::vector<Reservable> machines;
-    for (const Machine* machine : fleet_.all()) {
+    for (const Machine* machine : agents_.all()) {
         if (!is_reservable(*machine, job)) {
             continue;
         }
         double remaining_work_s = 0;
         bool runs_service = false;
-        for (const auto& [id, placed] : fleet_.site(*machine).tasks) {
+        for (const auto& [id, placed] : agents_.site(*machine).tasks) {
             const JobSpec& spec = placed.job->spec;
             runs_service = runs_service || spec.kind == JobKind::service;
-            double elapsed_s = ctx_.now.steady - fleet_.placed_at(id);
+            double elapsed_s = ctx_.now.steady - agents_.placed_at(id);
             remaining_work_s = std::max(remaining_work_s, spec.estimate_s - elapsed_s);
         }
         if (!runs_service) {
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/scheduling/pending_queue.hpp"
 #include "core/scheduling/placement_constraints.hpp"
@@ -28,8 +28,9 @@
     };
 
     /// All arguments must outlive this object.
-    GangReservations(Context& ctx, const Fleet& fleet, const PlacementConstraints& constraints)
-        : ctx_(ctx), fleet_(fleet), constraints_(constraints) {}
+    GangReservations(Context& ctx, const AgentRegistry& agents,
+                     const PlacementConstraints& constraints)
+        : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
     /// The reservation of a machine that is in force, or nullptr.
     const Reservation* find(const std::string& machine) const;
@@ -63,7 +64,7 @@
     std::vector<Reservable> reservable_machines(const Job& job) const;
 
     Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
     const PlacementConstraints& constraints_;
     std::map<std::string, Reservation> reservations_;  // by machine
     std::map<std::string, double> reserving_since_;    // by gang, steady s
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -32,7 +32,7 @@
         // Room that costs nothing, on machines that are not taken back.
         return score_of_leftover_room;
     }
-    const MachineType* type = fleet_.type(machine.type);
+    const MachineType* type = agents_.type(machine.type);
     double free_share =
         type != nullptr && type->size.cpus > 0 ? offer.room.cpus / type->size.cpus : 0;
     // A start on a machine whose heartbeat was replied to waits for its next one.
@@ -60,10 +60,10 @@
 }
 
 bool MachineScoring::any_machine_in_use_fits(const Job& job) const {
-    const auto& machines = fleet_.all();
+    const auto& machines = agents_.all();
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return fleet_.in_use(*machine) && !fleet_.site(*machine).tasks.empty() &&
-               job.spec.each.fits_in(fleet_.room(*machine)) && constraints_.allows(job, *machine);
+        return agents_.in_use(*machine) && !agents_.site(*machine).tasks.empty() &&
+               job.spec.each.fits_in(agents_.room(*machine)) && constraints_.allows(job, *machine);
     });
 }
 
@@ -83,16 +83,16 @@
 }
 
 bool MachineScoring::any_spot_machine_fits(const Job& job) const {
-    const auto& machines = fleet_.all();
+    const auto& machines = agents_.all();
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        const MachineType* type = machine->spot ? fleet_.type(machine->type) : nullptr;
+        const MachineType* type = machine->spot ? agents_.type(machine->type) : nullptr;
         if (type == nullptr || machine->interruption_deadline) {
             return false;
         }
         bool is_booting =
             ctx_.now.steady - machine->launched_at < type->boot_s * constants::boot_late_factor;
-        return (machine->up() || is_booting) && job.spec.each.fits_in(fleet_.room(*machine)) &&
-               !fleet_.site(*machine).mark && constraints_.allows(job, *machine);
+        return (machine->up() || is_booting) && job.spec.each.fits_in(agents_.room(*machine)) &&
+               !agents_.site(*machine).mark && constraints_.allows(job, *machine);
     });
 }
 
@@ -101,7 +101,7 @@
     const Job& job = *pending.job;
     bool is_unstarted_gang = job.spec.kind == JobKind::gang && job.done() == 0;
     int needed = is_unstarted_gang ? job.spec.tasks : 1;
-    int image = fleet_.image_number(job.spec.image);
+    int image = agents_.image_number(job.spec.image);
     FleetQuestion question{FleetQuestion::Kind::finds_image, pending.demands, image, needed};
     auto [answer, is_new] = round.answers.try_emplace(question, false);
     if (is_new) {
@@ -112,9 +112,9 @@
 
 bool MachineScoring::enough_machines_with_image(const Job& job, int image, int needed) const {
     int found = 0;
-    for (const Machine* machine : fleet_.all()) {
-        if (!Fleet::has_image(*machine, image) || fleet_.zone_partitioned(machine->zone) ||
-            fleet_.site(*machine).mark || !constraints_.allows(job, *machine)) {
+    for (const Machine* machine : agents_.all()) {
+        if (!AgentRegistry::has_image(*machine, image) || agents_.zone_partitioned(machine->zone) ||
+            agents_.site(*machine).mark || !constraints_.allows(job, *machine)) {
             continue;
         }
         found += job.spec.each.fits_in(room_within_wait(*machine)) ? 1 : 0;
@@ -127,10 +127,10 @@
 
 // The room that a machine has, or is expected to have within the wait W.
 Resources MachineScoring::room_within_wait(const Machine& machine) const {
-    Resources room = fleet_.room(machine);
-    for (const auto& [id, placed] : fleet_.site(machine).tasks) {
+    Resources room = agents_.room(machine);
+    for (const auto& [id, placed] : agents_.site(machine).tasks) {
         const JobSpec& spec = placed.job->spec;
-        double remaining_s = spec.estimate_s - (ctx_.now.steady - fleet_.placed_at(id));
+        double remaining_s = spec.estimate_s - (ctx_.now.steady - agents_.placed_at(id));
         if (spec.kind != JobKind::service && remaining_s < ctx_.tunables.locality_wait_s) {
             room += spec.each;
         }
@@ -143,7 +143,7 @@
     if (std::any_of(offer.images_claimed.begin(), offer.images_claimed.end(), is_other)) {
         return true;
     }
-    fleet_.room(*offer.machine);  // brings images_pulling up to date as well
+    agents_.room(*offer.machine);  // brings images_pulling up to date as well
     const auto& pulling = offer.machine->images_pulling;
     return std::any_of(pulling.begin(), pulling.end(), is_other);
 }
--- a/src/core/scheduling/machine_scoring.hpp
+++ b/src/core/scheduling/machine_scoring.hpp
@@ -2,7 +2,7 @@
 // better machine than the one offered is there or will be soon, so that waiting for it pays.
 #pragma once
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/scheduling/pending_queue.hpp"
 #include "core/scheduling/placement_constraints.hpp"
@@ -15,8 +15,9 @@
 class MachineScoring {
   public:
     /// All arguments must outlive this object.
-    MachineScoring(const Context& ctx, const Fleet& fleet, const PlacementConstraints& constraints)
-        : ctx_(ctx), fleet_(fleet), constraints_(constraints) {}
+    MachineScoring(const Context& ctx, const AgentRegistry& agents,
+                   const PlacementConstraints& constraints)
+        : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
     /// The score of an offer for a job's tasks; the least is best. Spot machines come first, then
     /// the fullest of the machines in use (bin packing), and empty ordinary machines last.
@@ -47,7 +48,7 @@
     Resources room_within_wait(const Machine& machine) const;
 
     const Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
     const PlacementConstraints& constraints_;
 };
 
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -119,14 +119,14 @@
 }
 
 bool PendingQueue::paused(const Waiting& w) const {
-    return w.job->fails > 0 && ctx_.now.steady < fleet_.job_pause_until(w.uid);
+    return w.job->fails > 0 && ctx_.now.steady < job_failures_.pause_until(w.uid);
 }
 
 double PendingQueue::dominant(const Resources& amount) const {
-    if (fleet_.types().empty()) {
+    if (agents_.types().empty()) {
         return std::max(amount.gpus, amount.cpus);
     }
-    const Resources& size = fleet_.types().front().size;
+    const Resources& size = agents_.types().front().size;
     return std::max(part(amount.gpus, size.gpus), part(amount.cpus, size.cpus));
 }
 
@@ -205,8 +205,8 @@
         for (auto& f : flows) {
             f.machines_held = holds[f.name];
         }
-        auto up = std::count_if(fleet_.all().begin(), fleet_.all().end(),
-                                [this](const Machine* m) { return fleet_.in_use(*m); });
+        auto up = std::count_if(agents_.all().begin(), agents_.all().end(),
+                                [this](const Machine* m) { return agents_.in_use(*m); });
         next = admission::min_share_deficits(
             flows, static_cast<double>(up),
             {constants::floor_share, constants::floor_idle_share, constants::floor_after_s});
--- a/src/core/scheduling/pending_queue.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -11,7 +11,8 @@
 #include <vector>
 
 #include "admission/min_share.hpp"
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
+#include "core/agents/job_failures.hpp"
 #include "core/context/context.hpp"
 
 namespace cranemoor::core {
@@ -35,7 +36,8 @@
         int demands = 0;         // equal for jobs that fit the same machines
     };
 
-    PendingQueue(Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
+    PendingQueue(Context& ctx, const AgentRegistry& agents, const JobFailures& job_failures)
+        : ctx_(ctx), agents_(agents), job_failures_(job_failures) {}
 
     void epoch_changed();
     // touched: jobs that changed
@@ -98,7 +100,8 @@
     int demands(const JobSpec& spec);
 
     Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
+    const JobFailures& job_failures_;
     std::unordered_map<std::string, std::unique_ptr<Waiting>> waiting_;  // by uid
     std::map<Key, Lane> lanes_;
     std::map<admission::FlowName, double> lacks_;
--- a/src/core/scheduling/placement_constraints.cpp
+++ b/src/core/scheduling/placement_constraints.cpp
@@ -23,7 +23,7 @@
     if (offer.is_empty) {
         return {};
     }
-    const MachineType* type = fleet_.type(offer.machine->type);
+    const MachineType* type = agents_.type(offer.machine->type);
     return spec.each.gpus > 0 || type == nullptr ? offer.room : leftover_room(*type, offer.room);
 }
 
--- a/src/core/scheduling/placement_constraints.hpp
+++ b/src/core/scheduling/placement_constraints.hpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 #include "core/context/context.hpp"
 #include "core/scheduling/scheduling_round.hpp"
 
@@ -14,8 +14,9 @@
 /// The hard constraints of jobs on machines: the filter before machines are scored.
 class PlacementConstraints {
   public:
-    /// `ctx` and `fleet` must outlive this object.
-    PlacementConstraints(const Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
+    /// `ctx` and `agents` must outlive this object.
+    PlacementConstraints(const Context& ctx, const AgentRegistry& agents)
+        : ctx_(ctx), agents_(agents) {}
 
     /// Whether the job's type, zone and spot rules allow its tasks on that machine. Of a job whose
     /// tasks must run in one zone, only the zone that it has settled on.
@@ -38,7 +39,7 @@
 
   private:
     const Context& ctx_;
-    const Fleet& fleet_;
+    const AgentRegistry& agents_;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -55,24 +55,24 @@
                                                           double waited) const {
     Victims v;
     v.machine = &m;
-    v.local = Fleet::has_image(m, fleet_.image_number(job.spec.image));
+    v.local = AgentRegistry::has_image(m, agents_.image_number(job.spec.image));
     std::vector<std::tuple<double, TaskId, const Job*>> candidates;
-    for (const auto& [id, on] : fleet_.site(m).tasks) {
+    for (const auto& [id, on] : agents_.site(m).tasks) {
         const Job* other = on.job;
         if (!other->cancelled && may_preempt(job, *other, waited)) {
-            double ran = ctx_.now.steady - fleet_.placed_at(id);
+            double ran = ctx_.now.steady - agents_.placed_at(id);
             // What has a checkpoint loses little, however long it ran.
             double lost =
                 other->spec.checkpoint_s > 0 ? std::min(ran, other->spec.checkpoint_s) : ran;
             if (other->spec.kind == JobKind::gang && other->spec.tasks > 1) {
-                lost = fleet_.gang_preemption().cost_s(*other);
+                lost = gang_preemption_.cost_s(*other);
             }
             candidates.emplace_back(lost, id, other);
         }
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const auto& a, const auto& b) { return std::get<0>(a) < std::get<0>(b); });
-    Resources room = fleet_.room(m);
+    Resources room = agents_.room(m);
     for (const auto& [lost, id, other] : candidates) {
         if (job.spec.each.fits_in(room)) {
             break;
@@ -94,11 +94,11 @@
         return;
     }
     if (victim->spec.kind != JobKind::gang || victim->spec.tasks == 1) {
-        fleet_.stop_task(m, {id, p->attempt}, 0);
+        task_stops_.stop(m, {id, p->attempt}, 0);
         return;
     }
     // The room is there only when the gang has saved.
-    fleet_.gang_preemption().request_preemption(*victim, "makes room for " + job.spec.uid);
+    gang_preemption_.request_preemption(*victim, "makes room for " + job.spec.uid);
     double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
     scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preempt_pause_s);
 }
@@ -138,7 +138,7 @@
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
     return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
-           scheduler_.constraints().allows(job, m) && !fleet_.site(m).mark &&
+           scheduler_.constraints().allows(job, m) && !agents_.site(m).mark &&
            !scheduler_.reservations().is_reserved_for_other(m.name, job.spec.uid) &&
            PlacementConstraints::spread_allowance(job, block, m.zone) > 0;
 }
@@ -149,7 +149,7 @@
     const JobSpec& s = job.spec;
     double waited = ctx_.now.steady - waiting.open_since;
     preempted_at_[s.uid] = ctx_.now.steady;
-    int image = fleet_.image_number(s.image);
+    int image = agents_.image_number(s.image);
     int block = 0;
     while (block + 1 < job.block_count() && !job.first_open(block)) {
         ++block;
@@ -159,10 +159,10 @@
     bool local_room = false;
     std::optional<Victims> best;
     bool fetch_counts = s.priority == Priority::production && s.image_gb > 0;
-    for (Machine* each : fleet_.all()) {
+    for (Machine* each : agents_.all()) {
         Machine& m = *each;
-        bool fits = s.each.fits_in(fleet_.room(m));
-        bool local = Fleet::has_image(m, image);
+        bool fits = s.each.fits_in(agents_.room(m));
+        bool local = AgentRegistry::has_image(m, image);
         // Most machines are left out by what costs least to see.
         bool better = m.owned_by_us && (!best || local || !best->local);
         if (!(fits || better) || !may_serve(job, block, m)) {
@@ -176,7 +176,7 @@
             }
             continue;
         }
-        if (!fleet_.usable(m)) {
+        if (!agents_.usable(m)) {
             continue;
         }
         auto v = victims_on(m, job, waited);
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -7,7 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
+#include "core/agents/gang_preemption.hpp"
+#include "core/agents/task_stops.hpp"
 #include "core/context/context.hpp"
 #include "core/membership/membership.hpp"
 #include "core/quota/quota.hpp"
@@ -18,11 +20,14 @@
 
 class Preemption {
   public:
-    Preemption(Context& ctx, const Membership& membership, Fleet& fleet, Scheduler& scheduler,
+    Preemption(Context& ctx, const Membership& membership, AgentRegistry& agents,
+               GangPreemption& gang_preemption, TaskStops& task_stops, Scheduler& scheduler,
                const Quota& quota, const PendingQueue& flows)
         : ctx_(ctx),
           membership_(membership),
-          fleet_(fleet),
+          agents_(agents),
+          gang_preemption_(gang_preemption),
+          task_stops_(task_stops),
           scheduler_(scheduler),
           quota_(quota),
           pending_queue_(flows) {}
@@ -50,7 +55,9 @@
 
     Context& ctx_;
     const Membership& membership_;
-    Fleet& fleet_;
+    AgentRegistry& agents_;
+    GangPreemption& gang_preemption_;
+    TaskStops& task_stops_;
     Scheduler& scheduler_;
     const Quota& quota_;
     const PendingQueue& pending_queue_;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -5,21 +5,23 @@
 
 namespace cranemoor::core {
 
-Scheduler::Scheduler(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
+Scheduler::Scheduler(Context& ctx, Membership& membership, AgentRegistry& agents,
+                     const PendingTaskExits& pending_exits, HeartbeatReplies& replies, Quota& quota,
                      const PendingQueue& pending_queue, BatchedClaims& batched_claims)
     : ctx_(ctx),
       membership_(membership),
-      fleet_(fleet),
+      agents_(agents),
       quota_(quota),
       pending_queue_(pending_queue),
       batched_claims_(batched_claims),
-      constraints_(ctx, fleet),
-      scoring_(ctx, fleet, constraints_),
-      delay_scheduling_(ctx, fleet),
-      reservations_(ctx, fleet, constraints_),
-      gang_placement_(ctx, fleet, constraints_),
-      claim_writer_(ctx, fleet, quota, batched_claims),
-      task_claims_(ctx, fleet, quota, batched_claims, constraints_, claim_writer_) {}
+      constraints_(ctx, agents),
+      scoring_(ctx, agents, constraints_),
+      delay_scheduling_(ctx, agents),
+      reservations_(ctx, agents, constraints_),
+      gang_placement_(ctx, agents, constraints_),
+      claim_writer_(ctx, agents, replies, quota, batched_claims),
+      task_claims_(ctx, agents, pending_exits, quota, batched_claims, constraints_, claim_writer_) {
+}
 
 void Scheduler::tick() {
     if (!ctx_.member || !membership_.has_store_contact()) {
@@ -54,24 +56,24 @@
 
 // Adds the machines with free room to the round: those of ours, or those of other controllers.
 void Scheduler::collect_offers(SchedulingRound& round, bool owned_by_us) const {
-    for (Machine* machine : fleet_.all()) {
+    for (Machine* machine : agents_.all()) {
         if (machine->owned_by_us != owned_by_us) {
             continue;
         }
         // Where there is no room or use for it, that is an answer as well.
         machine->seen_by_scheduler = true;
-        if (fleet_.room(*machine).cpus < Resources::slack ||
-            !(owned_by_us ? fleet_.usable(*machine) : fleet_.in_use(*machine))) {
+        if (agents_.room(*machine).cpus < Resources::slack ||
+            !(owned_by_us ? agents_.usable(*machine) : agents_.in_use(*machine))) {
             continue;
         }
         MachineOffer offer;
         offer.machine = machine;
-        offer.room = fleet_.room(*machine) - claim_writer_.claimed_on(machine->name);
+        offer.room = agents_.room(*machine) - claim_writer_.claimed_on(machine->name);
         if (offer.room.cpus < Resources::slack) {
             continue;
         }
         offer.owned_by_us = owned_by_us;
-        offer.is_empty = fleet_.site(*machine).tasks.empty();
+        offer.is_empty = agents_.site(*machine).tasks.empty();
         if (const auto* reservation = reservations_.find(machine->name)) {
             offer.reserved_for = reservation->uid;
             offer.reserved_priority = reservation->priority;
@@ -100,7 +102,7 @@
     bool is_gang = spec.kind == JobKind::gang && job.done() == 0;
     // A gang of one that takes a whole machine looks for it as larger ones do, among all
     // controllers'.
-    if (is_gang && (spec.tasks > 1 || fleet_.needs_whole_machine(spec))) {
+    if (is_gang && (spec.tasks > 1 || agents_.needs_whole_machine(spec))) {
         if (!place_gang(round, pending)) {
             reservations_.reserve_for_gang(round, pending);
         }
@@ -151,10 +153,10 @@
                                                const PendingQueue::Waiting& pending,
                                                bool is_gang) const {
     const JobSpec& spec = pending.job->spec;
-    int image = fleet_.image_number(spec.image);
+    int image = agents_.image_number(spec.image);
     const auto& claimed = offer.images_claimed;
     Drawbacks drawbacks;
-    drawbacks.has_image = spec.image_gb <= 0 || Fleet::has_image(*offer.machine, image) ||
+    drawbacks.has_image = spec.image_gb <= 0 || AgentRegistry::has_image(*offer.machine, image) ||
                           std::count(claimed.begin(), claimed.end(), image) != 0;
     drawbacks.fetch_contended = !drawbacks.has_image && scoring_.is_fetch_contended(offer, image);
     drawbacks.spot_machine_fits = scoring_.fits_spot_machine(round, offer, pending);
@@ -247,7 +249,7 @@
     for (const auto& place : places.tasks) {
         place.offer->room -= spec.each;
     }
-    auto machines = take_offers(places.tasks, fleet_.image_number(spec.image));
+    auto machines = take_offers(places.tasks, agents_.image_number(spec.image));
     claim_writer_.add_block_claim(job, blocks, machines, spec.tasks);
     claim_writer_.send_block_claims();
     delay_scheduling_.on_claimed(spec.uid, places.with_image == spec.tasks);
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -9,7 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
+#include "core/agents/heartbeat_replies.hpp"
+#include "core/agents/pending_task_exits.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/batched_claims.hpp"
 #include "core/membership/membership.hpp"
@@ -30,7 +32,8 @@
 class Scheduler {
   public:
     /// All arguments must outlive the scheduler.
-    Scheduler(Context& ctx, Membership& membership, Fleet& fleet, Quota& quota,
+    Scheduler(Context& ctx, Membership& membership, AgentRegistry& agents,
+              const PendingTaskExits& pending_exits, HeartbeatReplies& replies, Quota& quota,
               const PendingQueue& pending_queue, BatchedClaims& batched_claims);
 
     /// The membership epoch changed: machines may have changed their owner.
@@ -78,7 +81,7 @@
 
     Context& ctx_;
     Membership& membership_;
-    Fleet& fleet_;
+    AgentRegistry& agents_;
     Quota& quota_;
     const PendingQueue& pending_queue_;
     BatchedClaims& batched_claims_;
--- a/src/core/scheduling/scheduling_round.hpp
+++ b/src/core/scheduling/scheduling_round.hpp
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -115,7 +115,7 @@
 Block TaskClaims::next_block(const Job& job, int block, bool is_batched) const {
     Block next = job.block(block);
     if (!is_batched) {
-        fleet_.pending_exits().apply_to_block(job, block, next);
+        pending_exits_.apply_to_block(job, block, next);
     }
     next.attempt++;
     return next;
@@ -184,7 +184,7 @@
         const Machine& machine = *place.offer->machine;
         next.placed[place.task] = {machine.name, machine.zone, next.attempt, ctx_.me.id};
     }
-    auto machines = take_offers(places, fleet_.image_number(job.spec.image));
+    auto machines = take_offers(places, agents_.image_number(job.spec.image));
     if (target == ClaimTarget::batched_record) {
         claim_writer_.add_batched_claim(job, block, next, machines);
     } else {
--- a/src/core/scheduling/task_claims.hpp
+++ b/src/core/scheduling/task_claims.hpp
@@ -5,7 +5,8 @@
 #include <cstddef>
 #include <vector>
 
-#include "core/agents/fleet.hpp"
+#include "core/agents/agent_registry.hpp"
+#include "core/agents/pending_task_exits.hpp"
 #include "core/context/context.hpp"
 #include "core/jobs/batched_claims.hpp"
 #include "core/quota/quota.hpp"
@@ -29,10 +30,12 @@
 class TaskClaims {
   public:
     /// All arguments must outlive this object.
-    TaskClaims(Context& ctx, Fleet& fleet, Quota& quota, BatchedClaims& batched_claims,
-               const PlacementConstraints& constraints, ClaimWriter& claim_writer)
+    TaskClaims(Context& ctx, AgentRegistry& agents, const PendingTaskExits& pending_exits,
+               Quota& quota, BatchedClaims& batched_claims, const PlacementConstraints& constraints,
+               ClaimWriter& claim_writer)
         : ctx_(ctx),
-          fleet_(fleet),
+          agents_(agents),
+          pending_exits_(pending_exits),
           quota_(quota),
           batched_claims_(batched_claims),
           constraints_(constraints),
@@ -54,7 +57,8 @@
                      const std::vector<TaskPlace>& places);
 
     Context& ctx_;
-    Fleet& fleet_;
+    AgentRegistry& agents_;
+    const PendingTaskExits& pending_exits_;
     Quota& quota_;
     BatchedClaims& batched_claims_;
     const PlacementConstraints& constraints_;
--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -70,7 +70,8 @@
     /// The node whose controller owns a machine; -1 if none does.
     int owner_of(const std::string& machine) {
         for (int i = 0; i < 3; ++i) {
-            if (cluster.is_alive(i) && cluster.controller(i).fleet().adopted(machine)) {
+            if (cluster.is_alive(i) &&
+                cluster.controller(i).agent_manager().registry().adopted(machine)) {
                 return i;
             }
         }
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -324,7 +324,7 @@
     auto places = cluster.machines_running("req-000001");
     const Member* owner = nullptr;
     for (int i = 0; i < 3; ++i) {
-        if (cluster.controller(i).fleet().adopted(places[0])) {
+        if (cluster.controller(i).agent_manager().registry().adopted(places[0])) {
             owner = cluster.controller(i).context().jobs.epoch()->find("n" + std::to_string(i));
         }
     }
@@ -336,7 +336,10 @@
         [&] {
             adopted = 0;
             for (int i = 0; i < 3; ++i) {
-                adopted += i != dead && cluster.controller(i).fleet().adopted(places[0]) ? 1 : 0;
+                adopted +=
+                    i != dead && cluster.controller(i).agent_manager().registry().adopted(places[0])
+                        ? 1
+                        : 0;
             }
             return adopted == 1;
         },
@@ -424,7 +427,11 @@
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
     cluster.faults.nodes_cut_from_workers.insert(0);
     auto relayed = [&] {
-        return cluster.controller(0).fleet().find("vm-500000")->last_heartbeat_relayed;
+        return cluster.controller(0)
+            .agent_manager()
+            .registry()
+            .find("vm-500000")
+            ->last_heartbeat_relayed;
     };
     ASSERT_TRUE(cluster.run_until(relayed, 20));
     cluster.faults.nodes_cut_from_workers.clear();
@@ -483,7 +490,7 @@
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     auto old = cluster.send_heartbeat(0, bare_report("vm-100000", "a", token, 4));
     EXPECT_TRUE(old.commands.empty());
-    EXPECT_FALSE(cluster.controller(0).fleet().adopted("vm-100000"));
+    EXPECT_FALSE(cluster.controller(0).agent_manager().registry().adopted("vm-100000"));
 }
 
 TEST_F(ClusterTest, AClaimWhoseAnswerWasLostIsNeitherLostNorDoubled) {
@@ -691,8 +698,8 @@
 TEST_F(ClusterTest, AMachineMarkedForReturnGetsNothingNew) {
     begin();
     cluster.add_machine("vm-500000", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500000"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500000"); }, 20));
     cluster.cloud.capacity = 0;
     cluster.store.put(
         "c/x/1-1",
@@ -769,8 +776,8 @@
     cluster.submit_and_wait(0, busy);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 30));
     cluster.add_machine("vm-500001", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500001"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500001"); }, 20));
     double claimed = 0;
     cluster.workers.on_command = [&](const std::string& m, const Command& c) {
         if (c.kind == Command::Kind::start && m == "vm-500001" && claimed == 0) {
@@ -797,8 +804,8 @@
     cluster.submit_and_wait(0, busy);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 30));
     cluster.add_machine("vm-500001", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500001"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500001"); }, 20));
     cluster.run_for(1);
     cluster.submit_and_wait(0, cluster.make_job(2, JobKind::service));  // 1 s to fetch
     EXPECT_TRUE(
@@ -816,8 +823,8 @@
     cluster.submit_and_wait(0, first);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
     cluster.add_machine("vm-500001", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500001"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500001"); }, 20));
     cluster.run_for(1);
     auto gang = cluster.make_job(2, JobKind::gang, 2);
     gang.each = first.each;
@@ -834,8 +841,8 @@
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 8));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 30));
     cluster.add_machine("vm-500001", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500001"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500001"); }, 20));
     cluster.submit_and_wait(0, cluster.make_job(2, JobKind::service));
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000002") == 1; }, 2.5));
 }
@@ -932,8 +939,8 @@
 TEST_F(ClusterTest, AMachineThatFailsEveryTaskIsSetAsideAndReturned) {
     begin();
     cluster.add_machine("vm-000000", "a").fails_tasks = true;
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-000000"); }, 20));
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-000000"); }, 20));
     for (int i = 1; i <= 6; ++i) {
         cluster.submit_and_wait(0, cluster.make_job(i));
     }
@@ -1098,7 +1105,8 @@
     ASSERT_TRUE(cluster.run_until(
         [&] {
             return cluster.controller(0)
-                .fleet()
+                .agent_manager()
+                .registry()
                 .find("vm-500000")
                 ->interruption_deadline.has_value();
         },
@@ -1127,11 +1135,12 @@
     begin();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.controller(0).fleet().adopted("vm-500000"); }, 20));
-    Fleet& fleet = cluster.controller(0).fleet();
-    fleet.apply_cloud_listing({{"vm-500000", "", "t8", "a", false, ListedState::starting, 0}});
-    EXPECT_EQ(fleet.find("vm-500000")->address, "vm-500000");
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500000"); }, 20));
+    AgentManager& agent_manager = cluster.controller(0).agent_manager();
+    agent_manager.apply_cloud_listing(
+        {{"vm-500000", "", "t8", "a", false, ListedState::starting, 0}});
+    EXPECT_EQ(agent_manager.registry().find("vm-500000")->address, "vm-500000");
 }
 
 TEST_F(ClusterTest, IdleMachinesAreReturnedAfterTheirMark) {
