--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -99,8 +99,7 @@
 // A report that is relayed comes by itself, through report().
 void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
     ctx_.now = now;
-    bool heartbeat = !message.relay && message.rentals.empty();
-    membership_.peer_message(peer, message.state_contact, heartbeat, message.lease);
+    membership_.on_peer_message(peer, message);
     autoscaler_.hear(message.rentals);
     if (message.pressure) {
         admission_table_sync_.on_pressure_sample(peer, *message.pressure);
@@ -111,7 +110,7 @@
     ctx_.now = now;
     membership_.on_reply(id, reply);
     ctx_.state_reply(id, reply);
-    membership_.on_copy_advanced();
+    membership_.on_replica_advanced();
 }
 
 std::vector<Action> Controller::take() {
--- /dev/null
+++ b/src/core/membership/peer_contact.hpp
@@ -0,0 +1,71 @@
+// PeerContact: the heartbeats between controllers. They say whether the key-value store answers the
+// sender, how scarce writes are for it, and carry the read leases by which controllers go on
+// serving their workers while the store answers none of them (src/read_leases).
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "core/context/context.hpp"
+#include "core/membership/replica_sync.hpp"
+#include "core/membership/store_contact.hpp"
+#include "read_leases/read_leases.hpp"
+
+namespace cranemoor::core {
+
+/// Sends this process's heartbeats to its peers and keeps what their messages say.
+class PeerContact {
+  public:
+    PeerContact(Context& ctx, const StoreContact& store_contact, const ReplicaSync& replica)
+        : ctx_(ctx), store_contact_(store_contact), replica_(replica) {}
+
+    /// Must be called before any other function; assumes that an earlier process of this name may
+    /// have granted read leases.
+    void start();
+    /// Sends heartbeats every `constants::peer_beat_s`, and at once when what they say has changed.
+    void tick();
+    /// Any message of `peer` (by name), with whether the key-value store answers the sender.
+    void on_message(const std::string& peer, bool has_store_contact);
+    /// A heartbeat of `peer` that carries no read leases: its version knows none.
+    void on_heartbeat_without_leases(const std::string& peer);
+    /// A heartbeat of `peer`; the cancellations that came with it must already be noted.
+    void on_heartbeat(const std::string& peer, const read_leases::Heartbeat& heartbeat);
+
+    /// Whether some peer said lately that the key-value store answers it.
+    bool any_has_store_contact() const;
+    /// Whether every peer said lately that the key-value store does not answer it; true without
+    /// peers.
+    bool all_lack_store_contact() const;
+    /// Steady time in seconds until which all cancellations that any controller confirmed to users
+    /// are known here.
+    double cancellations_known_until_s() const;
+    /// Whether this process has promised a peer to confirm no cancellation to users.
+    bool has_promised_silence() const { return leases_->promised(ctx_.now.steady); }
+
+  private:
+    struct PeerStatus {
+        double received_s = -1e9;  // steady time
+        bool has_store_contact = false;
+    };
+
+    static bool is_recent(const PeerStatus& status, double now_s);
+    bool relies_on_read_leases() const;
+    void send_when_changed();
+    void send_heartbeats();
+    LeaseHeartbeat lease_heartbeat(const std::string& peer,
+                                   const std::optional<std::vector<Cancellation>>& known);
+    std::optional<std::vector<Cancellation>> known_cancellations() const;
+
+    Context& ctx_;
+    const StoreContact& store_contact_;
+    const ReplicaSync& replica_;
+    std::optional<read_leases::ReadLeases> leases_;  // from the start on
+    std::map<std::string, PeerStatus> peers_;        // by name, as of its last message
+    double next_heartbeat_s_ = 0;                    // steady time
+    bool sent_store_contact_ = false;                // what the last heartbeats said
+    bool sent_reliance_ = false;                     // whether the last ones asked for read leases
+};
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/membership/replica_sync.cpp
@@ -0,0 +1,95 @@
+#include "core/membership/replica_sync.hpp"
+
+namespace cranemoor::core {
+
+void ReplicaSync::resume() {
+    if (reading_) {
+        return;
+    }
+    if (!ctx_.jobs.loaded()) {
+        read_page("", 0);
+    } else if (!watching_) {
+        watch();
+    }
+}
+
+void ReplicaSync::reopen_watch() {
+    if (watching_) {
+        watch();
+    }
+}
+
+void ReplicaSync::read_page(const std::string& after, Revision first_page_revision) {
+    if (after.empty()) {
+        ctx_.jobs.begin_load();
+        ctx_.whole = false;
+    }
+    reading_ = true;
+    StateCall call;
+    call.kind = StateCall::Kind::list;
+    call.key = keys::live;
+    call.after = after;
+    ctx_.state(call, [this, first_page_revision](const StateReply& page) {
+        on_page(page, first_page_revision);
+    });
+}
+
+void ReplicaSync::on_page(const StateReply& page, Revision first_page_revision) {
+    if (page.status != StateReply::Status::ok) {
+        reading_ = false;
+        store_contact_.delay_retries();
+        return;
+    }
+    // The first page's revision is where the watch begins; later pages may be newer, and the watch
+    // then repeats what they already hold.
+    Revision first = first_page_revision == 0 ? page.revision : first_page_revision;
+    ctx_.jobs.load(page.events);
+    if (page.more && !page.events.empty()) {
+        read_page(page.events.back().key, first);
+        return;
+    }
+    reading_ = false;
+    ctx_.jobs.end_load(first);
+    has_read_all_ = true;
+    // Pages that were read at different revisions show a state that the store never had, until the
+    // watch has brought all changes between them: it does so at once.
+    if (page.revision == first) {
+        on_replica_changed();
+    }
+    watch();
+}
+
+void ReplicaSync::watch() {
+    watching_ = true;
+    ++watch_number_;
+    StateCall call;
+    call.kind = StateCall::Kind::watch;
+    call.key = keys::live;
+    call.since = ctx_.jobs.revision();
+    ctx_.state(call, [this, number = watch_number_](const StateReply& reply) {
+        if (number == watch_number_) {
+            on_watch_reply(reply);
+        }
+    });
+}
+
+void ReplicaSync::on_watch_reply(const StateReply& reply) {
+    watching_ = false;
+    if (reply.status == StateReply::Status::compacted) {
+        ctx_.info("watch: fell behind, reading everything again");
+        read_page("", 0);
+        return;
+    }
+    if (reply.status != StateReply::Status::ok) {
+        store_contact_.delay_retries();
+        return;
+    }
+    for (const auto& event : reply.events) {
+        ctx_.jobs.apply(event);
+    }
+    ctx_.jobs.advance(reply.revision);
+    on_replica_changed();
+    watch();
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/membership/store_contact.cpp
@@ -0,0 +1,50 @@
+#include "core/membership/store_contact.hpp"
+
+namespace cranemoor::core {
+
+void StoreContact::on_request_sent(const StateCall& call) {
+    bool reply_names_revision = call.kind == StateCall::Kind::txn ||
+                                call.kind == StateCall::Kind::list ||
+                                call.kind == StateCall::Kind::watch;
+    if (reply_names_revision) {
+        safe_time_.on_request_sent(call.id, ctx_.now.steady);
+    }
+}
+
+void StoreContact::on_reply(std::uint64_t call_id, const StateReply& reply) {
+    bool names_revision =
+        reply.status == StateReply::Status::ok || reply.status == StateReply::Status::conflict;
+    safe_time_.on_reply(call_id, names_revision ? reply.revision : 0);
+    if (reply.status != StateReply::Status::refused &&
+        reply.status != StateReply::Status::unknown) {
+        last_reply_s_ = ctx_.now.steady;
+    }
+}
+
+void StoreContact::on_replica_advanced() {
+    if (ctx_.jobs.loaded()) {
+        safe_time_.on_revision_applied(ctx_.jobs.revision());
+    }
+}
+
+// A compare-only transaction: its reply names the store's revision. Users' questions make such
+// checks many times a second; this one is for times without any.
+void StoreContact::refresh_safe_time() {
+    if (ctx_.now.steady - safe_time_s() < constants::safe_time_every_s || requesting_safe_time_ ||
+        !ctx_.jobs.loaded() || !may_retry()) {
+        return;
+    }
+    requesting_safe_time_ = true;
+    Txn txn;
+    txn.urgency = Urgency::first;
+    txn.conditions = {ctx_.epoch_condition()};
+    ctx_.txn(txn, [this](const StateReply& reply) {
+        requesting_safe_time_ = false;
+        if (reply.status != StateReply::Status::ok &&
+            reply.status != StateReply::Status::conflict) {
+            delay_retries();
+        }
+    });
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/membership/store_lease.cpp
@@ -0,0 +1,50 @@
+#include "core/membership/store_lease.hpp"
+
+namespace cranemoor::core {
+
+void StoreLease::request() {
+    if (request_in_flight_ || id_ != 0) {
+        return;
+    }
+    request_in_flight_ = true;
+    StateCall call;
+    call.kind = StateCall::Kind::grant;
+    ctx_.state(call, [this](const StateReply& reply) {
+        request_in_flight_ = false;
+        if (reply.status == StateReply::Status::ok) {
+            id_ = reply.lease;
+            next_renewal_s_ = ctx_.now.steady + constants::renew_every_s;
+            on_granted();
+        }
+    });
+}
+
+void StoreLease::replace() {
+    id_ = 0;
+    request();
+}
+
+void StoreLease::keep_alive() {
+    if (id_ == 0 || renewal_in_flight_ || ctx_.now.steady < next_renewal_s_) {
+        return;
+    }
+    next_renewal_s_ = ctx_.now.steady + constants::renew_every_s;
+    renew();
+}
+
+void StoreLease::renew() {
+    renewal_in_flight_ = true;
+    StateCall call;
+    call.kind = StateCall::Kind::renew;
+    call.lease = id_;
+    ctx_.state(call, [this, renewed_id = id_](const StateReply& reply) {
+        renewal_in_flight_ = false;
+        if (reply.status == StateReply::Status::not_found && renewed_id == id_) {
+            ctx_.info("lease {} ended", renewed_id);
+            replace();
+            on_expired();
+        }
+    });
+}
+
+}  // namespace cranemoor::core
