--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -82,7 +82,7 @@
         }
         job.each_placement([&](int task, const Placement& placement) {
             Machine* machine = registry_.find(placement.machine);
-            const PendingTaskExits::TaskExit* task_exit = pending_exits_.find(job, task);
+            const TaskExit* task_exit = pending_exits_.find(job, task);
             bool ended = task_exit != nullptr && task_exit->attempt == placement.attempt;
             // Just taken over: what ended there before is known with its first heartbeat.
             bool recently_taken_over =
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -12,16 +12,49 @@
     std::move(more.conditions.begin(), more.conditions.end(), std::back_inserter(txn.conditions));
     std::move(more.writes.begin(), more.writes.end(), std::back_inserter(txn.writes));
 }
+
+const char* cause_name(ExitCause cause) {
+    switch (cause) {
+        case ExitCause::done:
+            return "done";
+        case ExitCause::stopped:
+            return "stopped";
+        case ExitCause::peers_gone:
+            return "peers gone";
+        case ExitCause::gang_incomplete:
+            return "gang incomplete";
+        case ExitCause::error:
+            return "error";
+        case ExitCause::no_room:
+            return "no room";
+        case ExitCause::busy:
+            return "busy";
+        case ExitCause::unknown_task:
+            return "unknown task";
+        case ExitCause::other:
+            return "exited";
+        case ExitCause::lost:
+            return "lost";
+        case ExitCause::not_started:
+            return "not started";
+        case ExitCause::machine_gone:
+            return "machine gone";
+    }
+    return "exited";
+}
 }  // namespace
 
-// What is known of a task's end and not written yet.
-const PendingTaskExits::TaskExit* PendingTaskExits::find(const Job& job, int task) const {
+std::string TaskExit::text() const {
+    return fmt::format("{}{}", cause_name(cause), saved ? ", saved" : "");
+}
+
+const TaskExit* PendingTaskExits::find(const Job& job, int task) const {
     auto pending = pending_.find({job.spec.uid, job.block_of(task)});
     if (pending == pending_.end()) {
         return nullptr;
     }
-    auto it = pending->second.tasks.find(task);
-    return it == pending->second.tasks.end() ? nullptr : &it->second;
+    auto task_exit = pending->second.tasks.find(task);
+    return task_exit == pending->second.tasks.end() ? nullptr : &task_exit->second;
 }
 
 void PendingTaskExits::add(const TaskId& id, const TaskExit& task_exit) {
@@ -33,18 +66,18 @@
     if (pending.tasks.empty()) {
         pending.since = ctx_.now.steady;
     }
-    auto it = pending.tasks.find(id.index);
-    if (it != pending.tasks.end() && it->second.attempt == task_exit.attempt) {
+    auto known = pending.tasks.find(id.index);
+    if (known != pending.tasks.end() && known->second.attempt == task_exit.attempt) {
         return;
     }
     pending.tasks[id.index] = task_exit;
     pending.needs_review = true;
     ctx_.info("task {} attempt {} on {}: {}", id.text(), task_exit.attempt, task_exit.machine,
-              task_exit.why);
+              task_exit.text());
 }
 
 void PendingTaskExits::recheck_job(const std::string& uid) {
-    for (auto it = pending_.lower_bound({uid, 0}); it != pending_.end() && it->first.first == uid;
+    for (auto it = pending_.lower_bound({uid, 0}); it != pending_.end() && it->first.uid == uid;
          ++it) {
         it->second.needs_review = true;
     }
@@ -55,23 +88,24 @@
 // never be, however true it was; the next owner sees for itself.
 void PendingTaskExits::forget(const std::string& machine) {
     for (auto& [key, pending] : pending_) {
-        std::erase_if(pending.tasks, [&](const auto& t) { return t.second.machine == machine; });
+        std::erase_if(pending.tasks,
+                      [&](const auto& entry) { return entry.second.machine == machine; });
     }
 }
 
-// Whether a block's outcomes should be written now. Its record is written whole, so that the ends
+// Whether a block's exits should be written now. Its record is written whole, so that the ends
 // of several tasks cost one write: they are collected for a while. Nothing waits for them
 // meanwhile: a task that ended leaves its room at once, and the last one here to end writes them
 // all. What must start again, and what a team near its limit gives back, is urgent.
 bool PendingTaskExits::is_write_due(const Job& job, const Block& block,
                                     const BlockExits& pending) const {
-    bool soon = job.cancelled || batched_claims_.is_batched(job);
-    double limit = soon ? constants::outcome_soon_s : constants::outcome_hold_s;
-    if (ctx_.now.steady - pending.since >= limit || job.spec.kind == JobKind::gang) {
+    bool urgent = job.cancelled || batched_claims_.is_batched(job);
+    double limit_s = urgent ? constants::outcome_soon_s : constants::outcome_hold_s;
+    if (ctx_.now.steady - pending.since >= limit_s || job.spec.kind == JobKind::gang) {
         return true;
     }
-    for (const auto& [index, o] : pending.tasks) {
-        if (!o.done && !job.cancelled) {
+    for (const auto& [index, task_exit] : pending.tasks) {
+        if (!task_exit.is_done() && !job.cancelled) {
             return true;
         }
     }
@@ -82,40 +116,39 @@
     }
     // A machine that nothing else runs on is room for a gang, as soon as all members know. On one
     // that goes, what is not told in time would be taken for lost.
-    for (const auto& [index, o] : pending.tasks) {
-        const Machine* m = registry_.find(o.machine);
-        if (m != nullptr &&
-            (registry_.vacated(*m) || m->interruption_deadline || ctx_.jobs.mark(m->name))) {
+    for (const auto& [index, task_exit] : pending.tasks) {
+        const Machine* machine = registry_.find(task_exit.machine);
+        if (machine != nullptr && (registry_.vacated(*machine) || machine->interruption_deadline ||
+                                   ctx_.jobs.mark(machine->name))) {
             return true;
         }
     }
-    return std::none_of(block.placed.begin(), block.placed.end(), [&](const auto& t) {
-        const Machine* m = registry_.find(t.second.machine);
-        return m != nullptr && m->owned_by_us && pending.tasks.count(t.first) == 0;
+    return std::none_of(block.placed.begin(), block.placed.end(), [&](const auto& entry) {
+        const Machine* machine = registry_.find(entry.second.machine);
+        return machine != nullptr && machine->owned_by_us && pending.tasks.count(entry.first) == 0;
     });
 }
 
-// Enters what is known of a block's ends and not written yet.
-void PendingTaskExits::apply_to_block(const Job& job, int k, Block& next) const {
-    auto pending = pending_.find({job.spec.uid, k});
+void PendingTaskExits::apply_to_block(const Job& job, int block, Block& next) const {
+    auto pending = pending_.find({job.spec.uid, block});
     if (pending == pending_.end()) {
         return;
     }
     bool some_done = false;
-    bool some_error = false;
-    for (const auto& [index, outcome] : pending->second.tasks) {
-        auto p = next.placed.find(index);
-        if (p == next.placed.end() || p->second.attempt != outcome.attempt) {
+    bool some_failed = false;
+    for (const auto& [index, task_exit] : pending->second.tasks) {
+        auto placement = next.placed.find(index);
+        if (placement == next.placed.end() || placement->second.attempt != task_exit.attempt) {
             continue;
         }
-        next.placed.erase(p);
-        if (outcome.done) {
+        next.placed.erase(placement);
+        if (task_exit.is_done()) {
             next.add_done(index);
         }
-        some_done = some_done || outcome.done;
-        some_error = some_error || outcome.error;
+        some_done = some_done || task_exit.is_done();
+        some_failed = some_failed || task_exit.is_failure();
     }
-    next.fails = some_done ? 0 : next.fails + (some_error ? 1 : 0);
+    next.fails = some_done ? 0 : next.fails + (some_failed ? 1 : 0);
 }
 
 void PendingTaskExits::flush() {
@@ -123,44 +156,45 @@
         return;
     }
     std::vector<BlockRef> blocks;
-    std::vector<BlockRef> to_sheet;
-    bool later = true;  // whether nobody misses any of them
-    for (const auto& ready : collect_due_blocks()) {
-        if (goes_to_batched_record(ready.which)) {
-            to_sheet.push_back(ready.which);
+    std::vector<BlockRef> batched;
+    bool deferrable = true;  // whether nothing waits for any of them
+    for (const DueBlock& due : collect_due_blocks()) {
+        if (goes_to_batched_record(due.block)) {
+            batched.push_back(due.block);
         } else {
-            later = later && ready.later;
-            blocks.push_back(ready.which);
+            deferrable = deferrable && due.deferrable;
+            blocks.push_back(due.block);
         }
     }
-    write_blocks(blocks, later);
-    write_batched(to_sheet);
+    write_blocks(blocks, deferrable);
+    write_batched(batched);
 }
 
 // The blocks whose ends are due, in the order in which they are missed.
 std::vector<PendingTaskExits::DueBlock> PendingTaskExits::collect_due_blocks() {
-    std::vector<DueBlock> ready;
-    bool all = ctx_.now.steady >= next_full_scan_s_;
-    next_full_scan_s_ = all ? ctx_.now.steady + constants::ends_look_s : next_full_scan_s_;
+    std::vector<DueBlock> due;
+    bool full_scan = ctx_.now.steady >= next_full_scan_s_;
+    next_full_scan_s_ = full_scan ? ctx_.now.steady + constants::ends_look_s : next_full_scan_s_;
     for (auto it = pending_.begin(); it != pending_.end();) {
-        const auto& [uid, k] = it->first;
+        const auto& [uid, block] = it->first;
         auto& pending = it->second;
         auto& tasks = pending.tasks;
-        bool waited = all && ctx_.now.steady - pending.since >= constants::outcome_soon_s;
+        bool waited = full_scan && ctx_.now.steady - pending.since >= constants::outcome_soon_s;
         if (!pending.needs_review && !waited) {
             ++it;
             continue;
         }
         const Job* job = ctx_.jobs.find(uid);
-        if (job != nullptr && k >= job->block_count()) {
+        if (job != nullptr && block >= job->block_count()) {
             job = nullptr;  // numbered as before the job was parted: it will be seen again
         }
         if (job != nullptr && pending.needs_review) {
             // Drop what the records say already.
-            const auto& placed = job->block(k).placed;
-            std::erase_if(tasks, [&](const auto& t) {
-                auto p = placed.find(t.first);
-                return p == placed.end() || p->second.attempt != t.second.attempt;
+            const auto& placed = job->block(block).placed;
+            std::erase_if(tasks, [&](const auto& entry) {
+                auto placement = placed.find(entry.first);
+                return placement == placed.end() ||
+                       placement->second.attempt != entry.second.attempt;
             });
         }
         if (job == nullptr || tasks.empty()) {
@@ -168,59 +202,60 @@
             continue;
         }
         pending.needs_review = false;
-        if (is_write_due(*job, job->block(k), pending)) {
-            bool missed = job->cancelled || job->spec.kind == JobKind::gang ||
-                          job->done() + static_cast<int>(tasks.size()) >= job->spec.tasks ||
-                          std::any_of(tasks.begin(), tasks.end(),
-                                      [](const auto& t) { return !t.second.done; });
-            ready.push_back({!missed, pending.since, it->first});
+        if (is_write_due(*job, job->block(block), pending)) {
+            bool awaited = job->cancelled || job->spec.kind == JobKind::gang ||
+                           job->done() + static_cast<int>(tasks.size()) >= job->spec.tasks ||
+                           std::any_of(tasks.begin(), tasks.end(),
+                                       [](const auto& entry) { return !entry.second.is_done(); });
+            due.push_back({!awaited, pending.since, it->first});
         }
         ++it;
     }
-    std::sort(ready.begin(), ready.end(), [](const DueBlock& a, const DueBlock& b) {
-        return std::tie(a.later, a.since, a.which) < std::tie(b.later, b.since, b.which);
+    std::sort(due.begin(), due.end(), [](const DueBlock& a, const DueBlock& b) {
+        return std::tie(a.deferrable, a.since, a.block) < std::tie(b.deferrable, b.since, b.block);
     });
-    return ready;
+    return due;
 }
 
 // Only so many at once: while writes are short they would wait anyway, and what is told meanwhile
 // goes with them.
-void PendingTaskExits::write_blocks(const std::vector<BlockRef>& ready, bool later) {
+void PendingTaskExits::write_blocks(const std::vector<BlockRef>& due, bool deferrable) {
     Txn txn;
     txn.purpose = Txn::Purpose::end;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     bool full = false;
-    for (const auto& which : ready) {
+    for (const BlockRef& ref : due) {
         full = full || blocks_in_flight_ + written.size() >= constants::ends_open;
-        if (full || !add_block_exit_writes(which, txn, taken)) {
-            pending_[which].needs_review = true;
+        if (full || !add_block_exit_writes(ref, txn, taken)) {
+            pending_[ref].needs_review = true;
         } else {
-            written.push_back(which);
+            written.push_back(ref);
         }
     }
     if (txn.writes.empty()) {
         return;
     }
-    txn.urgency = later ? Urgency::last : Urgency::normal;
+    txn.urgency = deferrable ? Urgency::last : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, taken, written](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, taken, written](const StateReply& reply) {
         blocks_in_flight_ -= written.size();
-        on_write_settled(r, taken, written);
+        on_write_settled(reply, taken, written);
     });
 }
 
 // Refused or unknown: the next tick tries again. If the first one is executed late, its conditions
 // fail or it says the same.
-void PendingTaskExits::on_write_settled(const StateReply& r, const std::vector<std::string>& taken,
+void PendingTaskExits::on_write_settled(const StateReply& reply,
+                                        const std::vector<std::string>& taken,
                                         const std::vector<BlockRef>& blocks) {
-    ctx_.when_settled(r, [this, taken, blocks] {
+    ctx_.when_settled(reply, [this, taken, blocks] {
         for (const auto& key : taken) {
             ctx_.busy.erase(key);
         }
-        for (const auto& which : blocks) {
-            if (auto it = pending_.find(which); it != pending_.end()) {
+        for (const BlockRef& ref : blocks) {
+            if (auto it = pending_.find(ref); it != pending_.end()) {
                 it->second.needs_review = true;
             }
         }
@@ -229,38 +264,38 @@
 
 // Whether a block's ends are facts that need its record only in time: no failure is to be counted
 // there, and the job is not over with them.
-bool PendingTaskExits::goes_to_batched_record(const BlockRef& which) const {
-    const Job& job = *ctx_.jobs.find(which.first);
-    const auto& tasks = pending_.at(which).tasks;
-    if (!batched_claims_.is_batched(job) || job.block(which.second).fails > 0) {
+bool PendingTaskExits::goes_to_batched_record(const BlockRef& ref) const {
+    const Job& job = *ctx_.jobs.find(ref.uid);
+    const auto& tasks = pending_.at(ref).tasks;
+    if (!batched_claims_.is_batched(job) || job.block(ref.block).fails > 0) {
         return false;
     }
-    auto count = [&](auto what) { return std::count_if(tasks.begin(), tasks.end(), what); };
-    auto done = count([](const auto& t) { return t.second.done; });
-    bool failed = count([](const auto& t) { return t.second.error; }) > 0;
+    auto count = [&](auto matches) { return std::count_if(tasks.begin(), tasks.end(), matches); };
+    auto done = count([](const auto& entry) { return entry.second.is_done(); });
+    bool failed = count([](const auto& entry) { return entry.second.is_failure(); }) > 0;
     return !failed && (job.cancelled || job.done() + done < job.spec.tasks);
 }
 
 // Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
 // but the epoch is a condition of it.
-void PendingTaskExits::write_batched(const std::vector<BlockRef>& ready) {
+void PendingTaskExits::write_batched(const std::vector<BlockRef>& due) {
     std::vector<Entry> entries;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     std::size_t bytes = 0;
-    bool wait = batched_write_in_flight_ || ctx_.now.steady < next_batched_write_s_;
-    for (const auto& which : ready) {
-        const Job& job = *ctx_.jobs.find(which.first);
-        auto key = job.block_key(which.second);
-        BlockExits& pending = pending_.at(which);
+    bool must_wait = batched_write_in_flight_ || ctx_.now.steady < next_batched_write_s_;
+    for (const BlockRef& ref : due) {
+        const Job& job = *ctx_.jobs.find(ref.uid);
+        auto key = job.block_key(ref.block);
+        BlockExits& pending = pending_.at(ref);
         Entry entry;
-        entry.uid = which.first;
-        entry.block = which.second;
-        for (const auto& [task, o] : pending.tasks) {
-            (o.done ? entry.done : entry.lost).emplace_back(task, o.attempt);
+        entry.uid = ref.uid;
+        entry.block = ref.block;
+        for (const auto& [task, task_exit] : pending.tasks) {
+            (task_exit.is_done() ? entry.done : entry.lost).emplace_back(task, task_exit.attempt);
         }
         std::size_t more = bytes_of(entry);
-        if (wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
+        if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
             ctx_.busy.count(key) != 0) {
             pending.needs_review = true;
             continue;
@@ -268,7 +303,7 @@
         bytes += more;
         entries.push_back(std::move(entry));
         taken.push_back(key);
-        written.push_back(which);
+        written.push_back(ref);
     }
     if (entries.empty()) {
         return;
@@ -276,35 +311,35 @@
     ctx_.busy.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
-    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
+    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& reply) {
         batched_write_in_flight_ = false;
-        on_write_settled(r, taken, written);
+        on_write_settled(reply, taken, written);
     });
 }
 
 // Adds the ends of one block's tasks to a transaction, if it takes them now.
-bool PendingTaskExits::add_block_exit_writes(const BlockRef& which, Txn& txn,
+bool PendingTaskExits::add_block_exit_writes(const BlockRef& ref, Txn& txn,
                                              std::vector<std::string>& taken) {
-    const auto& [uid, k] = which;
+    const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
-    auto key = job.block_key(k);
+    auto key = job.block_key(block);
     if (ctx_.busy.count(key) != 0) {
         return false;
     }
-    const Block& old = job.block(k);
+    const Block& old = job.block(block);
     Block next = old;
-    apply_to_block(job, k, next);
+    apply_to_block(job, block, next);
     int done = job.done() + next.done_count() - old.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
     // Else complete_finished_jobs does it once the blocks are written.
     completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
-    for (const auto& [other, b] : job.blocks) {
+    for (const auto& [other, record] : job.blocks) {
         completes = completes && ctx_.busy.count(job.block_key(other)) == 0;
     }
     if (!completes && bytes_of(next) > ctx_.value_max()) {
         // Written by the version before, under a larger limit.
-        bool bearable = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
-        if (!bearable) {
+        bool fits_old_limit = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
+        if (!fits_old_limit) {
             ctx_.to_part.insert(uid);
             return false;
         }
@@ -314,7 +349,7 @@
     if (completes) {
         changed = add_final_state_writes(ctx_, job, false, more);
     } else {
-        job.add_block(k, next, more);
+        job.add_block(block, next, more);
     }
     // One more condition is the epoch's.
     if (txn.writes.size() + more.writes.size() > ctx_.ops_max() ||
--- a/src/core/agents/pending_task_exits.hpp
+++ b/src/core/agents/pending_task_exits.hpp
@@ -4,9 +4,10 @@
 // are collected for a while so that several cost one write.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <string>
-#include <utility>
+#include <tuple>
 #include <vector>
 
 #include "core/agents/agent_registry.hpp"
@@ -16,18 +17,42 @@
 
 namespace cranemoor::core {
 
+/// Why an attempt of a task is over: as its worker reports it, or as the machine's owner concludes.
+enum class ExitCause {
+    done,
+    stopped,
+    peers_gone,
+    gang_incomplete,
+    error,
+    no_room,
+    busy,
+    unknown_task,
+    other,         // reported without a known reason
+    lost,          // was running and is no longer there
+    not_started,   // never started, and will not be
+    machine_gone,  // its machine was released
+};
+
+/// How one attempt of a task ended.
+struct TaskExit {
+    std::uint64_t attempt = 0;  // attempt number the exit belongs to
+    ExitCause cause = ExitCause::other;
+    bool saved = false;   // it made a checkpoint before it exited
+    std::string machine;  // name of the machine it ran on
+
+    /// Whether the task is completed; otherwise it must run again.
+    bool is_done() const { return cause == ExitCause::done; }
+    /// Whether the task itself failed.
+    bool is_failure() const {
+        return cause == ExitCause::error || cause == ExitCause::unknown_task;
+    }
+    /// The cause as it is logged.
+    std::string text() const;
+};
+
 /// Task exits known to this controller and not yet durable, by job and block.
 class PendingTaskExits {
   public:
-    /// How one attempt of a task ended.
-    struct TaskExit {
-        std::uint64_t attempt = 0;  // attempt number the exit belongs to
-        bool done = false;          // completed; otherwise the task is lost and must run again
-        std::string why;            // reason, as logged
-        std::string machine;        // name of the machine it ran on
-        bool error = false;         // the task itself failed
-    };
-
     /// `registry` tells which machines are owned by this controller; `batched_claims` writes the
     /// exits of batched jobs.
     PendingTaskExits(Context& ctx, const Quota& quota, const AgentRegistry& registry,
@@ -50,6 +75,14 @@
     void flush();
 
   private:
+    // One block of a job; ordered by job, then by block.
+    struct BlockRef {
+        std::string uid;
+        int block = 0;
+        friend bool operator<(const BlockRef& a, const BlockRef& b) {
+            return std::tie(a.uid, a.block) < std::tie(b.uid, b.block);
+        }
+    };
     // Exits of one block's tasks that are not written yet.
     struct BlockExits {
         std::map<int, TaskExit> tasks;
@@ -58,17 +91,16 @@
     };
 
     bool is_write_due(const Job& job, const Block& block, const BlockExits& pending) const;
-    using BlockRef = std::pair<std::string, int>;  // job and block
     struct DueBlock {
-        bool later = false;  // nobody misses it yet
+        bool deferrable = false;  // nothing waits for it yet
         double since = 0;
-        BlockRef which;
+        BlockRef block;
     };
     std::vector<DueBlock> collect_due_blocks();
-    bool goes_to_batched_record(const BlockRef& which) const;
-    void write_blocks(const std::vector<BlockRef>& ready, bool later);
-    void write_batched(const std::vector<BlockRef>& ready);
-    bool add_block_exit_writes(const BlockRef& which, Txn& txn, std::vector<std::string>& taken);
+    bool goes_to_batched_record(const BlockRef& ref) const;
+    void write_blocks(const std::vector<BlockRef>& due, bool deferrable);
+    void write_batched(const std::vector<BlockRef>& due);
+    bool add_block_exit_writes(const BlockRef& ref, Txn& txn, std::vector<std::string>& taken);
     void on_write_settled(const StateReply& reply, const std::vector<std::string>& taken,
                           const std::vector<BlockRef>& blocks);
 
@@ -80,7 +112,7 @@
     double next_batched_write_s_ = 0;  // steady time before which no batched write starts
     std::map<BlockRef, BlockExits> pending_;
     double next_full_scan_s_ = 0;       // steady time of the next look at all pending blocks
-    std::size_t blocks_in_flight_ = 0;  // blocks whose ends are on their way to the records
+    std::size_t blocks_in_flight_ = 0;  // blocks whose exits are on their way to the records
 };
 
 }  // namespace cranemoor::core
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -5,53 +5,48 @@
 namespace cranemoor::core {
 
 namespace {
-const char* reason_name(ExitReason reason) {
+ExitCause cause_of(ExitReason reason) {
     switch (reason) {
         case ExitReason::done:
-            return "done";
+            return ExitCause::done;
         case ExitReason::stopped:
-            return "stopped";
+            return ExitCause::stopped;
         case ExitReason::peers_gone:
-            return "peers gone";
+            return ExitCause::peers_gone;
         case ExitReason::incomplete:
-            return "gang incomplete";
+            return ExitCause::gang_incomplete;
         case ExitReason::error:
-            return "error";
+            return ExitCause::error;
         case ExitReason::no_room:
-            return "no room";
+            return ExitCause::no_room;
         case ExitReason::busy:
-            return "busy";
+            return ExitCause::busy;
         case ExitReason::unknown_task:
-            return "unknown task";
+            return ExitCause::unknown_task;
         default:
-            return "exited";
+            return ExitCause::other;
     }
 }
 }  // namespace
 
 void TaskReconciliation::record_exit(Machine& machine, const TaskStatus& status) {
-    PendingTaskExits::TaskExit task_exit;
-    task_exit.attempt = status.attempt;
-    task_exit.machine = machine.name;
-    task_exit.done = status.why == ExitReason::done;
-    task_exit.error = status.why == ExitReason::error || status.why == ExitReason::unknown_task;
-    task_exit.why = fmt::format("{}{}", reason_name(status.why), status.saved ? ", saved" : "");
+    TaskExit task_exit{status.attempt, cause_of(status.why), status.saved, machine.name};
     const Job* job = ctx_.jobs.find(status.id.uid);
     if (job == nullptr) {
         return;
     }
-    const PendingTaskExits::TaskExit* known = pending_exits_.find(*job, status.id.index);
+    const TaskExit* known = pending_exits_.find(*job, status.id.index);
     bool again = known != nullptr && known->attempt == status.attempt;
     pending_exits_.add(status.id, task_exit);
     if (again) {
         return;
     }
-    if (task_exit.done && job->spec.kind == JobKind::gang) {
+    if (task_exit.is_done() && job->spec.kind == JobKind::gang) {
         record_gang_done(*job, status);
     }
-    if (task_exit.done) {
+    if (task_exit.is_done()) {
         machine.failed_jobs.clear();
-    } else if (task_exit.error) {
+    } else if (task_exit.is_failure()) {
         note_task_failure(machine, *job);
     } else if (status.why == ExitReason::no_room || status.why == ExitReason::busy) {
         machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
@@ -64,7 +59,7 @@
     job.each_placement([&](int task, const Placement& placement) {
         if (placement.attempt == status.attempt) {
             pending_exits_.add({status.id.uid, task},
-                               {placement.attempt, true, "done", placement.machine, false});
+                               {placement.attempt, ExitCause::done, false, placement.machine});
         }
         return true;
     });
@@ -104,11 +99,8 @@
         bool lost_gang =
             job->spec.kind == JobKind::gang && machine.seen_running.count(attempt) != 0;
         if (proof && (lost_gang || !registry_.should_start(machine, *job))) {
-            PendingTaskExits::TaskExit task_exit;
-            task_exit.attempt = placement->attempt;
-            task_exit.machine = machine.name;
-            task_exit.why = lost_gang ? "lost" : "not started";
-            pending_exits_.add(id, task_exit);
+            ExitCause cause = lost_gang ? ExitCause::lost : ExitCause::not_started;
+            pending_exits_.add(id, {placement->attempt, cause, false, machine.name});
         }
     }
 }
@@ -120,7 +112,7 @@
         return;
     }
     for (const auto& [id, on] : ctx_.jobs.on_machine(name)) {
-        pending_exits_.add(id, {on.place->attempt, false, "machine gone", name, false});
+        pending_exits_.add(id, {on.place->attempt, ExitCause::machine_gone, false, name});
     }
 }
 
