--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -56,7 +56,7 @@
     return {m, fresh};
 }
 
-const Jobs::Site& Fleet::site(const Machine& m) const {
+const MachinePlacements& Fleet::site(const Machine& m) const {
     if (m.site == nullptr || m.site_of != ctx_.jobs.loads()) {
         m.site = ctx_.jobs.site(m.name);
         m.site_of = ctx_.jobs.loads();
--- a/src/core/agents/fleet.hpp
+++ b/src/core/agents/fleet.hpp
@@ -81,7 +81,7 @@
     mutable std::vector<int> images_pulling;  // images that its tasks wait for, as of then
 
     // what the records say of it, of the copy of that number; see Fleet::site
-    mutable std::shared_ptr<const Jobs::Site> site;
+    mutable std::shared_ptr<const MachinePlacements> site;
     mutable std::uint64_t site_of = 0;
 
     // As listed by the cloud provider.
@@ -154,7 +154,7 @@
     /// none, also while the record of its end is still to be written.
     const Resources& room(const Machine& m) const;
     /// What the job records say of the machine: placements, what they take, its release mark.
-    const Jobs::Site& site(const Machine& m) const;
+    const MachinePlacements& site(const Machine& m) const;
     /// Names of machines that must be released even by a controller that cannot write to the
     /// key-value store: silent ones past the deadline of a cancelled task, and fenced marks.
     std::set<std::string> overdue_and_silent();
--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -15,7 +15,7 @@
 #include "core/model/constants.hpp"
 #include "core/model/types.hpp"
 #include "core/overload/overload_detector.hpp"
-#include "core/store/jobs.hpp"
+#include "core/store/job_store.hpp"
 
 namespace cranemoor::core {
 
@@ -147,7 +147,7 @@
     const Tunables tunables;
     const std::string boot;
     Now now;
-    Jobs jobs;
+    JobStore jobs;
     OverloadDetector overload;
     std::vector<Action> out;
 
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -55,7 +55,7 @@
         } else {
             auto left = job.other_records();
             if (!job.final && job.first_record().revision != 0) {
-                left.emplace_back(keys::block(uid, 0), job.first_record().revision);
+                left.push_back({keys::block(uid, 0), job.first_record().revision});
             }
             for (const auto& [key, at] : left) {
                 if (txn.writes.size() < ctx_.ops_max()) {
@@ -83,8 +83,8 @@
     // All of one record at once, so that it is written once: the oldest job says which.
     std::size_t ops = ctx_.ops_max();
     std::set<std::string> gone;
-    std::map<std::string, Jobs::Listing> changed;  // what is left of the records that list them
-    std::set<std::string> outgrown;  // records that can't be put again with less in them
+    std::map<std::string, JobListing> changed;  // what is left of the records that list them
+    std::set<std::string> outgrown;             // records that can't be put again with less in them
     std::size_t writes = 0;
     auto add = [&](const std::string& uid) {
         const Job& job = ctx_.jobs.jobs().at(uid);
--- /dev/null
+++ b/src/core/store/job.cpp
@@ -0,0 +1,84 @@
+#include "core/store/job.hpp"
+
+namespace cranemoor::core {
+
+namespace {
+// The block of that number, an empty one if there is none.
+const Block& find_block(const std::map<int, Block>& blocks, int index) {
+    static const Block none;
+    auto it = blocks.find(index);
+    return it == blocks.end() ? none : it->second;
+}
+}  // namespace
+
+const Block& Job::block(int index) const {
+    return find_block(blocks, index);
+}
+
+std::optional<int> Job::first_open(int index) const {
+    const Block& wanted = block(index);
+    for (int task = block_first(index); task <= block_last(index); ++task) {
+        if (wanted.placed.count(task) == 0 && !wanted.is_done(task)) {
+            return task;
+        }
+    }
+    return std::nullopt;
+}
+
+JobRecord Job::record() const {
+    JobRecord record;
+    record.spec = spec;
+    record.spec.priority = own_priority;
+    record.submitted_wall = submitted_wall;
+    record.block_size = page_size > 0 ? record_size : block_size;
+    record.cancelled_wall = own_cancelled_wall;
+    record.page_size = page_size;
+    record.waiting = waiting;
+    record.follow_parts = follow_parts;
+    record.ready_wall = ready_wall;
+    return record;
+}
+
+const Block& Job::first_record() const {
+    return find_block(page_size > 0 ? whole : blocks, 0);
+}
+
+std::vector<Condition> Job::other_records() const {
+    std::vector<Condition> records;
+    for (const auto& [index, block] : page_size > 0 ? whole : blocks) {
+        if (index != 0 && block.revision != 0) {
+            records.push_back({keys::block(spec.uid, index), block.revision});
+        }
+    }
+    for (const auto& [index, revision] : pages) {
+        records.push_back({keys::page(spec.uid, index), revision});
+    }
+    return records;
+}
+
+std::string Job::block_key(int index) const {
+    return page_size > 0 ? keys::page(spec.uid, index) : keys::block(spec.uid, index);
+}
+
+void Job::add_block(int index, const Block& next, Txn& txn) const {
+    txn.conditions.push_back({block_key(index), block(index).revision});
+    txn.writes.push_back({block_key(index), encode(next)});
+    if (page_size == 0 || pages.count(index) != 0) {
+        return;
+    }
+    // The split block is made from the block records as they are known here.
+    int first_source = block_first(index) / record_size;
+    int last_source = block_last(index) / record_size;
+    for (int source = first_source; source <= last_source; ++source) {
+        txn.conditions.push_back(
+            {keys::block(spec.uid, source), find_block(whole, source).revision});
+    }
+}
+
+bool Job::stopping() const {
+    const Block& first = block(0);
+    return spec.kind == JobKind::gang && first.stop != 0 && first.stop == first.attempt &&
+           placed_total > 0;
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/store/job_store_blocks.cpp
@@ -0,0 +1,133 @@
+// How the blocks of a job follow from its block records, the records of its split blocks and the
+// entries of batch records.
+#include <algorithm>
+#include <utility>
+
+#include "core/store/job_store.hpp"
+
+namespace cranemoor::core {
+
+namespace {
+// Adds to `page` what a block record says of the tasks of that range.
+void copy_tasks(const Block& record, const TaskRange& tasks, Block& page) {
+    page.attempt = std::max(page.attempt, record.attempt);
+    page.merged = std::max(page.merged, record.merged);
+    page.fails = std::max(page.fails, record.fails);
+    page.placed.insert(record.placed.lower_bound(tasks.first),
+                       record.placed.upper_bound(tasks.last));
+    for (const auto& range : record.done) {
+        int first = std::max(range.first, tasks.first);
+        int last = std::min(range.second, tasks.last);
+        if (first <= last) {
+            page.done.emplace_back(first, last);
+            page.done_total += last - first + 1;
+        }
+    }
+}
+}  // namespace
+
+void JobStore::set_block(Job& job, int index, Block next) {
+    auto known = job.blocks.find(index);
+    if (known != job.blocks.end() && job.revision != 0) {
+        placements_.remove(job, known->second);
+    }
+    for (const auto& [task, placement] : next.placed) {
+        const Placement* earlier = nullptr;
+        if (known != job.blocks.end()) {
+            auto it = known->second.placed.find(task);
+            earlier = it == known->second.placed.end() ? nullptr : &it->second;
+        }
+        if (earlier == nullptr || earlier->attempt != placement.attempt) {
+            new_placements_.emplace_back(TaskId{job.spec.uid, task}, placement);
+        }
+    }
+    job.blocks[index] = std::move(next);
+    if (job.revision != 0) {
+        placements_.add(job, job.blocks[index]);
+    }
+}
+
+void JobStore::remove_block(Job& job, int index) {
+    auto it = job.blocks.find(index);
+    if (it == job.blocks.end()) {
+        return;
+    }
+    if (job.revision != 0) {
+        placements_.remove(job, it->second);
+    }
+    job.blocks.erase(it);
+}
+
+// Guards against a claim or an exit that is lost, since the record of its block was written by a
+// controller that did not know of it yet: each record says up to which revision it holds the
+// entries of batch records.
+void JobStore::apply_batch_entries(const IndexedKey& key, Block& next) const {
+    if (next.final || !loaded_) {
+        return;
+    }
+    Revision merged = next.merged;
+    for (const auto& entry : claim_batches_.of_job(key.uid)) {
+        if (entry->block == key.index && entry->at > merged) {
+            apply_entry(next, *entry);
+        }
+    }
+}
+
+void JobStore::apply_batch_entry(const Entry& entry) {
+    auto it = jobs_.find(entry.uid);
+    if (!loaded_ || it == jobs_.end() || it->second.revision == 0 || it->second.final) {
+        return;  // applied once the job is known, or of no use any more
+    }
+    Job& job = it->second;
+    if (job.page_size > 0) {
+        apply_batch_entry_to_pages(job, entry);
+    } else if (job.block(entry.block).merged < entry.at) {
+        Block next = job.block(entry.block);
+        apply_entry(next, entry);
+        set_block(job, entry.block, std::move(next));
+    }
+    classify(entry.uid, job);
+}
+
+// A job's blocks may have been split after the entry was written.
+void JobStore::apply_batch_entry_to_pages(Job& job, const Entry& entry) {
+    Block& record = job.whole[entry.block];
+    if (record.merged < entry.at) {
+        apply_entry(record, entry);
+        derive_missing_pages(job);
+    }
+    for (const auto& [index, revision] : job.pages) {
+        if (job.block(index).merged < entry.at) {
+            Block page = job.block(index);
+            apply_exits(page, entry, {job.block_first(index), job.block_last(index)});
+            set_block(job, index, std::move(page));
+        }
+    }
+}
+
+// What is true of a split block's tasks while it has no record: what the block records say.
+void JobStore::derive_page(Job& job, int index) {
+    Block page;
+    TaskRange tasks{job.block_first(index), job.block_last(index)};
+    for (int source = tasks.first / job.record_size; source <= tasks.last / job.record_size;
+         ++source) {
+        auto it = job.whole.find(source);
+        if (it != job.whole.end()) {
+            copy_tasks(it->second, tasks, page);
+        }
+    }
+    set_block(job, index, std::move(page));
+}
+
+void JobStore::derive_missing_pages(Job& job) {
+    if (job.first_record().final) {
+        return;  // nothing else counts any more
+    }
+    for (int index = 0; index < job.block_count(); ++index) {
+        if (job.pages.count(index) == 0) {
+            derive_page(job, index);
+        }
+    }
+}
+
+}  // namespace cranemoor::core
--- a/src/core/store/records.cpp
+++ b/src/core/store/records.cpp
@@ -3,6 +3,8 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <array>
+#include <string_view>
 
 #include "core/model/constants.hpp"
 
@@ -81,6 +83,50 @@
 }
 }  // namespace keys
 
+namespace {
+// Every key below keys::live but two begins with a prefix of that length.
+constexpr std::size_t prefix_length = 4;
+
+struct KeyPrefix {
+    std::string_view text;
+    RecordKind kind;
+};
+constexpr std::array<KeyPrefix, 10> key_prefixes = {{{"c/m/", RecordKind::member},
+                                                     {"c/j/", RecordKind::job},
+                                                     {"c/a/", RecordKind::listing},
+                                                     {"c/b/", RecordKind::block},
+                                                     {"c/p/", RecordKind::page},
+                                                     {"c/l/", RecordKind::dependencies},
+                                                     {"c/v/", RecordKind::version},
+                                                     {"c/s/", RecordKind::claim_batch},
+                                                     {"c/q/", RecordKind::quota},
+                                                     {"c/x/", RecordKind::cordons}}};
+}  // namespace
+
+RecordKind kind_of(const std::string& key) {
+    if (key == keys::epoch) {
+        return RecordKind::epoch;
+    }
+    if (key == keys::table) {
+        return RecordKind::admission_table;
+    }
+    for (const auto& prefix : key_prefixes) {
+        if (key.starts_with(prefix.text)) {
+            return prefix.kind;
+        }
+    }
+    return RecordKind::unknown;
+}
+
+IndexedKey parse_indexed_key(const std::string& key) {
+    auto slash = key.rfind('/');
+    return {key.substr(prefix_length, slash - prefix_length), std::stoi(key.substr(slash + 1))};
+}
+
+std::string uid_of_job_key(const std::string& key) {
+    return key.substr(prefix_length);
+}
+
 const Member* Epoch::find(const std::string& name) const {
     for (const auto& m : members) {
         if (m.name == name) {
@@ -164,6 +210,10 @@
             v.at("boot").get<std::string>(), v.at("id").get<std::uint64_t>()};
 }
 
+int decode_level(const Json& v) {
+    return v.value("level", 1);
+}
+
 Json encode(const Epoch& epoch) {
     Json members = Json::array();
     for (const auto& m : epoch.members) {
@@ -209,8 +259,9 @@
     return v;
 }
 
-Block decode_block(const Json& v) {
+Block decode_block(const Json& v, Revision revision) {
     Block block;
+    block.revision = revision;
     block.attempt = v.at("attempt").get<std::uint64_t>();
     for (const auto& [task, p] : v.at("placed").items()) {
         block.placed[std::stoi(task)] = {p.at(0).get<std::string>(), p.at(1).get<std::string>(),
@@ -260,8 +311,9 @@
     return {{"why", m.why}, {"fence", m.fence}, {"machines", m.machines}, {"gone", m.gone}};
 }
 
-Marks decode_marks(const Json& v) {
+Marks decode_marks(const Json& v, Revision revision) {
     Marks m;
+    m.revision = revision;
     m.why = v.at("why").get<std::string>();
     m.fence = v.at("fence").get<bool>();
     m.machines = v.at("machines").get<std::set<std::string>>();
@@ -277,8 +329,9 @@
     return {{"held", held}};
 }
 
-Slices decode_slices(const Json& v) {
+Slices decode_slices(const Json& v, Revision revision) {
     Slices slices;
+    slices.revision = revision;
     for (const auto& [id, r] : v.at("held").items()) {
         slices.held[std::stoull(id)] = amounts(r);
     }
--- a/src/core/store/records.hpp
+++ b/src/core/store/records.hpp
@@ -38,6 +38,35 @@
 std::string finished(const std::string& uid);
 }  // namespace keys
 
+/// The kinds of records below `keys::live`, told apart by their keys.
+enum class RecordKind {
+    unknown,  // of a later version
+    epoch,
+    member,
+    job,
+    listing,
+    block,
+    page,
+    dependencies,
+    version,
+    admission_table,
+    claim_batch,
+    quota,
+    cordons
+};
+/// The kind of the record with that key.
+RecordKind kind_of(const std::string& key);
+
+/// What a key made of a job's uid and a number names: a block, a page, a part of a list.
+struct IndexedKey {
+    std::string uid;
+    int index = 0;
+};
+/// Splits the key of a block, a page or a part of a dependency list.
+IndexedKey parse_indexed_key(const std::string& key);
+/// The uid in the key of a job's own record.
+std::string uid_of_job_key(const std::string& key);
+
 // The same on every controller and in every version.
 std::uint64_t stable_hash(const std::string& text);
 
@@ -173,14 +202,16 @@
 Json encode_listing(Json jobs);
 
 Epoch decode_epoch(const Json& value);
-Block decode_block(const Json& value);
+/// `revision`: of the record; 0 for a block that is no record itself.
+Block decode_block(const Json& value, Revision revision = 0);
 Finished decode_finished(const Json& value);
-Marks decode_marks(const Json& value);
-Slices decode_slices(const Json& value);
+Marks decode_marks(const Json& value, Revision revision);
+Slices decode_slices(const Json& value, Revision revision);
 // revision: of the record, for what it says for the first time
 Sheet decode_sheet(const Json& value, Revision revision);
 admission::Table decode_table(const Json& value, Revision revision);
 Member decode_member(const Json& value);
+int decode_level(const Json& value);
 JobRecord decode_job(const Json& value);
 std::vector<std::string> decode_follows(const Json& value);
 
