--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -41,7 +41,7 @@
     machines_.erase(entry);
 }
 
-const Jobs::Site& AgentRegistry::site(const Machine& machine) const {
+const MachinePlacements& AgentRegistry::site(const Machine& machine) const {
     if (machine.site == nullptr || machine.site_of != ctx_.jobs.loads()) {
         machine.site = ctx_.jobs.site(machine.name);
         machine.site_of = ctx_.jobs.loads();
--- a/src/core/agents/agent_registry.hpp
+++ b/src/core/agents/agent_registry.hpp
@@ -47,7 +47,7 @@
     /// Whether that machine is ours and has accepted our fencing token.
     bool adopted(const std::string& name) const;
     /// What the job records say of the machine: placements, what they take, its release mark.
-    const Jobs::Site& site(const Machine& machine) const;
+    const MachinePlacements& site(const Machine& machine) const;
 
     /// The machine type of that name, or nullptr.
     const MachineType* type(const std::string& name) const;
--- a/src/core/agents/machine.hpp
+++ b/src/core/agents/machine.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/model/types.hpp"
-#include "core/store/jobs.hpp"
+#include "core/store/job_store.hpp"
 
 namespace cranemoor::core {
 
@@ -95,7 +95,7 @@
     mutable std::vector<int> images_pulling;  // images that its tasks wait for, as of then
 
     // What the job records say of it, as of load number site_of; see AgentRegistry::site.
-    mutable std::shared_ptr<const Jobs::Site> site;
+    mutable std::shared_ptr<const MachinePlacements> site;
     mutable std::uint64_t site_of = 0;
 
     // As listed by the cloud provider.
