--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -15,7 +15,7 @@
       autoscaler_(ctx_, members_, fleet_, scheduler_, quota_, pending_queue_),
       job_completion_(ctx_, members_),
       dependencies_(ctx_, members_),
-      requests_(ctx_, members_, fleet_, quota_, dependencies_),
+      request_handler_(ctx_, members_, fleet_, quota_, dependencies_),
       oversized_block_split_(ctx_) {
     members_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
         if (epoch_changed) {
@@ -48,7 +48,7 @@
     if (!ctx_.whole) {
         // Guards against decisions from half of the records, while they are read anew: blocks of
         // jobs that are still to come would be removed, machines that still run tasks returned.
-        requests_.tick();
+        request_handler_.tick();
         return;
     }
     admission_table_sync_.tick();
@@ -62,28 +62,28 @@
     preemption_.tick();
     quota_.tick();
     autoscaler_.tick();
-    requests_.tick();
+    request_handler_.tick();
 }
 
 void Controller::submit(Now now, std::uint64_t request, const JobSpec& spec) {
     ctx_.now = now;
-    requests_.submit(request, spec);
+    request_handler_.submit(request, spec);
 }
 
 void Controller::invalid(Now now, std::uint64_t request, const std::optional<std::string>& uid,
                          const std::string& error) {
     ctx_.now = now;
-    requests_.invalid(request, uid, error);
+    request_handler_.submit_malformed(request, uid, error);
 }
 
 void Controller::poll(Now now, std::uint64_t request, const std::string& uid) {
     ctx_.now = now;
-    requests_.poll(request, uid);
+    request_handler_.poll(request, uid);
 }
 
 void Controller::cancel(Now now, std::uint64_t request, const std::string& uid) {
     ctx_.now = now;
-    requests_.cancel(request, uid);
+    request_handler_.cancel(request, uid);
 }
 
 bool Controller::healthy(Now now) {
--- a/src/core/controller/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -14,7 +14,7 @@
 #include "core/jobs/oversized_block_split.hpp"
 #include "core/membership/membership.hpp"
 #include "core/quota/quota.hpp"
-#include "core/requests/requests.hpp"
+#include "core/requests/request_handler.hpp"
 #include "core/scheduling/admission_table_sync.hpp"
 #include "core/scheduling/pending_queue.hpp"
 #include "core/scheduling/preemption.hpp"
@@ -66,7 +66,7 @@
     Autoscaler autoscaler_;
     JobCompletion job_completion_;
     Dependencies dependencies_;
-    Requests requests_;
+    RequestHandler request_handler_;
     OversizedBlockSplit oversized_block_split_;
 };
 
--- /dev/null
+++ b/src/core/requests/cancellation_handler.cpp
@@ -0,0 +1,89 @@
+#include "core/requests/cancellation_handler.hpp"
+
+#include <algorithm>
+
+namespace cranemoor::core {
+
+void CancellationHandler::cancel(RequestId request, const std::string& uid) {
+    if (const Finished* final_state = finished_jobs_.find(uid)) {
+        status_query_.answer_finished(request, uid, *final_state, AnswerDetail::state);
+        return;
+    }
+    fresh_reads_.when_fresh(request, uid, constants::submit_wait_s, [this, request, uid] {
+        write_cancellation(request, uid, constants::cancel_tries);
+    });
+}
+
+void CancellationHandler::write_cancellation(RequestId request, const std::string& uid,
+                                             int tries_left) {
+    const Job* job = ctx_.jobs.find(uid);
+    if (job == nullptr || job->cancelled) {
+        status_query_.answer_known(request, uid, AnswerDetail::state, [this, request, uid] {
+            open_requests_.reject(request, uid, {RejectionReason::no_such_job});
+        });
+        return;
+    }
+    if (!ctx_.member || tries_left == 0) {
+        open_requests_.reject_unavailable(request, uid);
+        return;
+    }
+    double cancelled_wall = std::max(1.0, ctx_.now.wall);  // 0 would mean not cancelled
+    ctx_.txn(cancellation_txn(*job, cancelled_wall),
+             [this, request, uid, tries_left, cancelled_wall](const StateReply& reply) {
+                 if (reply.status == StateReply::Status::ok) {
+                     ctx_.info("job {}: cancelled", uid);
+                     // Guards against an outage of the key-value store just now: the watch may
+                     // never tell of it.
+                     membership_.note_cancelled(uid, cancelled_wall);
+                 }
+                 on_written(request, uid, tries_left, reply);
+             });
+}
+
+// Claims are conditional on the record that is changed here, so that none can follow.
+Txn CancellationHandler::cancellation_txn(const Job& job, double cancelled_wall) const {
+    const auto& uid = job.spec.uid;
+    Txn txn;
+    txn.urgency = Urgency::first;
+    txn.purpose = Txn::Purpose::cancel;
+    txn.conditions = ctx_.jobs.alive(job);
+    txn.conditions.push_back(ctx_.epoch_condition());
+    JobRecord record = job.record();
+    record.cancelled_wall = cancelled_wall;
+    if (job.own_record) {
+        // Guards against a job that is called done and then cancelled: its final state stands in
+        // the first block and leaves the job's own record as it is.
+        txn.conditions.push_back({keys::block(uid, 0), job.first_record().revision});
+        txn.writes = {{keys::job(uid), encode(record)}};
+    } else if (bytes_of(job.block(0)) > ctx_.value_max()) {
+        // Its block can't be put again: a record of its own goes before the one that it shares.
+        txn.conditions.push_back({keys::block(uid, 0), job.block(0).revision});
+        txn.writes = {{keys::job(uid), encode(record)}};
+    } else {
+        Block block = job.block(0);
+        block.cancelled_wall = cancelled_wall;
+        txn.conditions.push_back({keys::block(uid, 0), block.revision});
+        txn.writes = {{keys::block(uid, 0), encode(block)}};
+    }
+    return txn;
+}
+
+void CancellationHandler::on_written(RequestId request, const std::string& uid, int tries_left,
+                                     const StateReply& reply) {
+    if (!open_requests_.is_open(request)) {
+        return;
+    }
+    if (reply.status == StateReply::Status::ok && membership_.may_tell_cancellations()) {
+        open_requests_.answer(request, uid, {HttpStatus::ok, JobState::cancelled});
+    } else if (reply.status == StateReply::Status::conflict) {
+        ctx_.when_at(reply.revision, [this, request, uid, tries_left] {
+            if (open_requests_.is_open(request)) {
+                write_cancellation(request, uid, tries_left - 1);
+            }
+        });
+    } else {
+        open_requests_.reject_unavailable(request, uid);
+    }
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/requests/finished_jobs.cpp
@@ -0,0 +1,63 @@
+#include "core/requests/finished_jobs.hpp"
+
+namespace cranemoor::core {
+
+FinishedJobs::FinishedJobs(Context& ctx, OpenRequests& open_requests)
+    : ctx_(ctx),
+      open_requests_(open_requests),
+      look_up_budget_(ctx.settings.state_rps * constants::look_up_share,
+                      ctx.settings.state_rps * constants::look_up_share) {}
+
+const Finished* FinishedJobs::find(const std::string& uid) const {
+    if (const Finished* final_state = ctx_.jobs.finished(uid)) {
+        return final_state;
+    }
+    auto cached = cache_.find(uid);
+    return cached == cache_.end() ? nullptr : &cached->second;
+}
+
+void FinishedJobs::look_up(RequestId request, const std::string& uid, Found found) {
+    if (const Finished* final_state = find(uid)) {
+        found(final_state);
+        return;
+    }
+    // Guards against users who ask for what nobody submitted, many times a second: their reads
+    // must not crowd out leases, claims and submissions.
+    if (!look_up_budget_.has(ctx_.now.steady, 1)) {
+        open_requests_.reject_unavailable(request, uid);
+        return;
+    }
+    look_up_budget_.take(1);
+    StateCall call;
+    call.kind = StateCall::Kind::get;
+    call.key = keys::finished(uid);
+    ctx_.state(call, [this, request, uid, found = std::move(found)](const StateReply& reply) {
+        if (!open_requests_.is_open(request)) {
+            return;
+        }
+        if (reply.status == StateReply::Status::ok) {
+            Finished final_state = decode_finished(reply.value);
+            remember(uid, final_state);
+            found(&final_state);
+        } else if (reply.status == StateReply::Status::not_found) {
+            found(nullptr);
+        } else {
+            open_requests_.reject_unavailable(request, uid);
+        }
+    });
+}
+
+void FinishedJobs::remember(const std::string& uid, const Finished& final_state) {
+    if (!cache_.try_emplace(uid, final_state).second) {
+        return;
+    }
+    if (cache_order_.size() < constants::finished_cache) {
+        cache_order_.push_back(uid);
+        return;
+    }
+    cache_.erase(cache_order_[next_replaced_]);
+    cache_order_[next_replaced_] = uid;
+    next_replaced_ = (next_replaced_ + 1) % cache_order_.size();
+}
+
+}  // namespace cranemoor::core
