--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -7,7 +7,7 @@
 
 void Autoscaler::epoch_changed() {
     next_list_ = 0;
-    if (members_.is_leader()) {
+    if (membership_.is_leader()) {
         take_over();
     } else {
         // What they may still bring is the next leading member's: it was told.
@@ -76,7 +76,7 @@
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
-        call.state_contact = members_.in_contact();
+        call.state_contact = membership_.has_store_contact();
         call.rentals = notices;
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
@@ -90,7 +90,7 @@
     double t = ctx_.now.steady;
     if (!list_open_ && t >= next_list_) {
         // As often as the list is renewed, and no more pages than a share of the calls allows.
-        bool leading = members_.is_leader();
+        bool leading = membership_.is_leader();
         double pages = 1 + std::floor(static_cast<double>(fleet_.machines().size()) /
                                       constants::machines_page);
         double calls = ctx_.settings.cloud_rps *
@@ -101,7 +101,7 @@
         list("");
     }
     release_unwritten();
-    if (!members_.is_leader() || !members_.in_contact() || fleet_.types().empty()) {
+    if (!membership_.is_leader() || !membership_.has_store_contact() || fleet_.types().empty()) {
         return;
     }
     release();
@@ -198,12 +198,12 @@
 // contact the machine is found silent, marked and released again, and only that answer is the
 // proof. Only who may still answer its workers does it: others may have taken them over.
 void Autoscaler::release_unwritten() {
-    if (members_.in_contact()) {
+    if (membership_.has_store_contact()) {
         released_unwritten_.clear();
         return;
     }
-    if (releasing_unwritten_ || !members_.may_answer_workers() || members_.peers_have_contact() ||
-        ctx_.now.steady < next_unwritten_) {
+    if (releasing_unwritten_ || !membership_.may_answer_workers() ||
+        membership_.peers_have_store_contact() || ctx_.now.steady < next_unwritten_) {
         return;
     }
     next_unwritten_ = ctx_.now.steady + constants::release_unwritten_s;
@@ -483,7 +483,7 @@
         plan.load[b.zone]++;
     }
     std::vector<const PendingQueue::Waiting*> jobs;
-    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
+    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
         jobs.push_back(&waiting);
         return true;
     });
@@ -554,7 +554,7 @@
     need.spec = &s;
     need.type = &type;
     // Idle work has cheap machines rented for it, ordinary ones only if it may not use others.
-    need.idle_work = Scheduler::idle_work(s);
+    need.idle_work = PlacementConstraints::is_best_effort_spot(s);
     need.only = s.zone;
     if (s.spread || s.together) {
         job.each_placement([&](int, const Placement& p) {
@@ -582,7 +582,7 @@
     const MachineType* t = fleet_.type(b.type);
     bool scraps = need.idle_work && !b.spot && s.each.gpus <= 0 && t != nullptr;
     return type_ok && (!b.spot || s.spot) && (!need.cheap || b.spot || !b.empty) &&
-           s.each.fits_in(scraps ? Scheduler::leftover(*t, b.room) : b.room);
+           s.each.fits_in(scraps ? PlacementConstraints::leftover_room(*t, b.room) : b.room);
 }
 
 std::size_t Autoscaler::next(const Plan& plan, const Need& need, const std::string& zone,
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -73,7 +73,7 @@
     if (!open_requests_.is_open(request)) {
         return;
     }
-    if (reply.status == StateReply::Status::ok && membership_.may_tell_cancellations()) {
+    if (reply.status == StateReply::Status::ok && membership_.may_confirm_cancellations()) {
         open_requests_.answer(request, uid, {HttpStatus::ok, JobState::cancelled});
     } else if (reply.status == StateReply::Status::conflict) {
         ctx_.when_at(reply.revision, [this, request, uid, tries_left] {
--- a/src/core/requests/status_query.cpp
+++ b/src/core/requests/status_query.cpp
@@ -44,7 +44,7 @@
         }
         cancelled = verdict == Dependencies::End::cancelled;
     }
-    if (cancelled && !membership_.may_tell_cancellations()) {
+    if (cancelled && !membership_.may_confirm_cancellations()) {
         open_requests_.reject_unavailable(request, job.spec.uid);
         return;
     }
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -83,7 +83,7 @@
 // A job that nothing is known of is written without a fresh read: the write's conditions fail if it
 // was accepted elsewhere.
 void SubmissionHandler::accept_new(RequestId request, const JobSpec& spec) {
-    if (!membership_.in_contact()) {
+    if (!membership_.has_store_contact()) {
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
@@ -203,7 +203,7 @@
         status_query_.answer_finished(request, uid, *final_state, AnswerDetail::state);
     } else if (job != nullptr && job->cancelled) {
         status_query_.answer_job(request, HttpStatus::created, *job, AnswerDetail::state);
-    } else if (submission.cancelled && !membership_.may_tell_cancellations()) {
+    } else if (submission.cancelled && !membership_.may_confirm_cancellations()) {
         open_requests_.reject_unavailable(request, uid);
     } else {
         JobState state = submission.cancelled ? JobState::cancelled : JobState::queued;
