--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -718,7 +718,7 @@
 // --- upkeep -------------------------------------------------------------------------------
 
 void Fleet::mark_for_release(Machine& m, const std::string& why, bool fence) {
-    const Mark* old = ctx_.jobs.mark(m.name);
+    const Cordon* old = ctx_.jobs.mark(m.name);
     if (m.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
@@ -750,7 +750,7 @@
         names.clear();
     };
     for (const auto& [group, machines] : waiting) {
-        Marks marks;
+        CordonBatch marks;
         marks.why = group.first;
         marks.fence = group.second;
         auto next = machines.begin();
@@ -935,7 +935,7 @@
 
 // The cloud's answer to a release is the proof that everything on the machine has ended.
 void Fleet::record_exits_of_released(const std::string& name) {
-    const Mark* mark = ctx_.jobs.mark(name);
+    const Cordon* mark = ctx_.jobs.mark(name);
     if (mark == nullptr || !mark->gone) {
         return;
     }
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -245,7 +245,7 @@
 // Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
 // but the epoch is a condition of it.
 void PendingTaskExits::write_batched(const std::vector<BlockRef>& ready) {
-    std::vector<Entry> entries;
+    std::vector<BatchEntry> entries;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     std::size_t bytes = 0;
@@ -254,11 +254,11 @@
         const Job& job = *ctx_.jobs.find(which.first);
         auto key = job.block_key(which.second);
         BlockExits& pending = pending_.at(which);
-        Entry entry;
+        BatchEntry entry;
         entry.uid = which.first;
         entry.block = which.second;
         for (const auto& [task, o] : pending.tasks) {
-            (o.done ? entry.done : entry.lost).emplace_back(task, o.attempt);
+            (o.done ? entry.done : entry.lost).push_back({task, o.attempt});
         }
         std::size_t more = bytes_of(entry);
         if (wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -168,7 +168,7 @@
     call.kind = CloudCall::Kind::release;
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
-            const Mark* mark = ctx_.jobs.mark(name);
+            const Cordon* mark = ctx_.jobs.mark(name);
             if (!mark->gone && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
                 call.machines.size() < constants::release_max) {
                 call.machines.push_back(name);
@@ -234,7 +234,7 @@
     txn.purpose = Txn::Purpose::mark;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, old] : ctx_.jobs.marks()) {
-        Marks marks = old;
+        CordonBatch marks = old;
         std::size_t bytes = constants::marks_frame_bytes + old.why.size();
         for (const auto& name : marks.machines) {
             bytes += mark_bytes(name);
@@ -267,8 +267,9 @@
 
 // A record that was written under a larger limit can't be put again with what is gone: that is
 // said by records beside it. A machine is gone if any of its marks says so.
-void Autoscaler::add_gone_apart(const Marks& old, const std::set<std::string>& names, Txn& txn) {
-    Marks apart;
+void Autoscaler::add_gone_apart(const CordonBatch& old, const std::set<std::string>& names,
+                                Txn& txn) {
+    CordonBatch apart;
     apart.why = old.why;
     apart.fence = old.fence;
     std::size_t bytes = 0;
@@ -284,7 +285,7 @@
     };
     put();
     for (const auto& name : names) {
-        const Mark* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.mark(name);
         if (old.machines.count(name) == 0 || (mark != nullptr && mark->gone)) {
             continue;
         }
@@ -312,7 +313,7 @@
         // as that one.
         bool settled = true;
         for (const auto& name : marks.machines) {
-            const Mark* mark = ctx_.jobs.mark(name);
+            const Cordon* mark = ctx_.jobs.mark(name);
             bool needed = marks.gone.count(name) != 0 && not_said(key, name);
             settled = settled && mark != nullptr && mark->gone && !needed;
         }
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -77,7 +77,7 @@
     void release();
     void release_unwritten();
     void write_gone(const std::set<std::string>& names);
-    void add_gone_apart(const Marks& old, const std::set<std::string>& names, Txn& txn);
+    void add_gone_apart(const CordonBatch& old, const std::set<std::string>& names, Txn& txn);
     bool not_said(const std::string& key, const std::string& machine) const;
     void retire_marks();
     void rent();
--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -135,7 +135,7 @@
     // Whether every controller has run a version that understands so much. From then on records are
     // used that the versions before would misread: one that dies before its turn and comes back old
     // holds that up, and is named here by its settings, not by who happens to be a member.
-    bool upgraded(int level = 1) const {
+    bool upgraded(FeatureLevel level = FeatureLevel::dependencies) const {
         return jobs.level(settings.name) >= level &&
                std::all_of(settings.peers.begin(), settings.peers.end(),
                            [this, level](const Peer& p) { return jobs.level(p.name) >= level; });
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -86,8 +86,8 @@
 
 std::size_t BatchedClaims::count_live_bytes(const std::string& key) const {
     std::size_t sum = 0;
-    auto it = ctx_.jobs.sheets().find(key);
-    if (it != ctx_.jobs.sheets().end()) {
+    auto it = ctx_.jobs.claim_batches().find(key);
+    if (it != ctx_.jobs.claim_batches().end()) {
         for (const auto& e : it->second) {
             sum += ctx_.jobs.needed(*e) ? bytes_of(*e) : 0;
         }
@@ -108,8 +108,9 @@
     std::string best;
     auto least = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
                                           constants::sheet_kept_share);
-    for (auto it = ctx_.jobs.sheets().lower_bound(prefix);
-         it != ctx_.jobs.sheets().end() && it->first.compare(0, prefix.size(), prefix) == 0; ++it) {
+    for (auto it = ctx_.jobs.claim_batches().lower_bound(prefix);
+         it != ctx_.jobs.claim_batches().end() && it->first.compare(0, prefix.size(), prefix) == 0;
+         ++it) {
         if (writes_in_flight_.count(it->first) != 0 || unknown_outcomes_.count(it->first) != 0) {
             continue;
         }
@@ -130,15 +131,15 @@
         return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.count(key) != 0 ||
                unknown_outcomes_.count(key) != 0;
     };
-    while (taken(keys::sheet(ctx_.me.id, n))) {
+    while (taken(keys::claim_batch(ctx_.me.id, n))) {
         ++n;
     }
-    return {keys::sheet(ctx_.me.id, n), 0};
+    return {keys::claim_batch(ctx_.me.id, n), 0};
 }
 
 // What is still needed of a record is written again with what is new.
-void BatchedClaims::append_live_entries(const std::string& key, Sheet& sheet) const {
-    if (auto it = ctx_.jobs.sheets().find(key); it != ctx_.jobs.sheets().end()) {
+void BatchedClaims::append_live_entries(const std::string& key, ClaimBatch& sheet) const {
+    if (auto it = ctx_.jobs.claim_batches().find(key); it != ctx_.jobs.claim_batches().end()) {
         for (const auto& e : it->second) {
             if (ctx_.jobs.needed(*e)) {
                 sheet.entries.push_back(*e);
@@ -170,7 +171,7 @@
         if (writes_in_flight_.count(key) == 0 && ctx_.member &&
             ctx_.now.steady >= doubt.next_retry_s) {
             doubt.next_retry_s = ctx_.now.steady + constants::retry_state_s;
-            Sheet sheet;
+            ClaimBatch sheet;
             append_live_entries(key, sheet);
             Txn txn;
             txn.purpose = Txn::Purpose::sheet;
@@ -188,10 +189,10 @@
     }
 }
 
-void BatchedClaims::write(std::vector<Entry> entries, Txn txn,
+void BatchedClaims::write(std::vector<BatchEntry> entries, Txn txn,
                           std::function<void(const StateReply&)> on_reply) {
     Condition where = next_record();
-    Sheet sheet;
+    ClaimBatch sheet;
     append_live_entries(where.key, sheet);
     txn.spared = entries.size() - 1;
     std::move(entries.begin(), entries.end(), std::back_inserter(sheet.entries));
@@ -239,7 +240,7 @@
     Txn txn;
     txn.urgency = Urgency::last;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, said] : ctx_.jobs.sheets()) {
+    for (const auto& [key, said] : ctx_.jobs.claim_batches()) {
         if (txn.writes.size() < constants::sheets_retired && is_retirable(key)) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -1,6 +1,6 @@
 // Batched claims: while the admission table marks writes as scarce (`AdmissionTable::shared`), the
 // claims and completions of many job-array tasks are written together into one shared record per
-// controller (`keys::sheet`, stored type `Sheet`) instead of one record per block. Claims in
+// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block. Claims in
 // different records cannot see each other, so each block of such a job is assigned one owning
 // controller (weighted rendezvous hashing, `admission::shard_owner`), and only that controller
 // claims from it. Writes whose outcome is unknown are resolved before the record is used again.
@@ -43,7 +43,7 @@
     /// in one compare-and-swap. `on_reply` is called with the reply. If the outcome is unknown, it
     /// is called only once the write has been applied or can no longer be, and until then no other
     /// record takes the same claims.
-    void write(std::vector<Entry> entries, Txn txn,
+    void write(std::vector<BatchEntry> entries, Txn txn,
                std::function<void(const StateReply&)> on_reply);
     /// Resolves writes with an unknown outcome and deletes records that nobody needs any more.
     /// Called once per controller tick.
@@ -57,7 +57,7 @@
     std::size_t live_bytes(const std::string& key) const;
     std::size_t count_live_bytes(const std::string& key) const;
     bool is_retirable(const std::string& key) const;
-    void append_live_entries(const std::string& key, Sheet& sheet) const;
+    void append_live_entries(const std::string& key, ClaimBatch& sheet) const;
     bool is_resolved(const std::string& key) const;
     void resolve_unknown_outcomes();
 
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -129,7 +129,7 @@
         return false;
     }
     for (const auto& m : epoch->members) {
-        if (ctx_.jobs.level(m.name) >= 1) {
+        if (ctx_.jobs.level(m.name) >= FeatureLevel::dependencies) {
             return m.id == ctx_.me.id;
         }
     }
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -1,34 +1,11 @@
 #include "core/jobs/oversized_block_split.hpp"
 
-namespace cranemoor::core {
+#include <algorithm>
+#include <utility>
 
-namespace {
-// Bytes that a placed task takes at the most.
-std::size_t task_bytes(const Context& ctx) {
-    std::size_t zone = 0;
-    for (const auto& z : ctx.settings.zones) {
-        zone = std::max(zone, z.size());
-    }
-    return constants::placement_bytes + zone;
-}
-}  // namespace
+#include "core/jobs/block_limits.hpp"
 
-int block_tasks(const Context& ctx) {
-    std::size_t each = task_bytes(ctx);
-    std::size_t room =
-        ctx.value_max() - std::min<std::size_t>(ctx.value_max() / 2, constants::block_frame_bytes);
-    int fits = static_cast<int>(room / each);
-    return std::max(2, std::min(constants::block_tasks_max, fits) / 2 * 2);
-}
-
-int largest_gang(const Context& ctx) {
-    // Its blocks and its team's slices are one transaction.
-    int blocks = static_cast<int>(ctx.ops_max()) - 1;
-    auto room = static_cast<std::size_t>(constants::txn_bytes * constants::value_share);
-    std::size_t frames = constants::block_frame_bytes * ctx.ops_max();
-    auto fit = static_cast<int>((room - std::min(room / 2, frames)) / task_bytes(ctx));
-    return std::min(block_tasks(ctx) * blocks, fit);
-}
+namespace cranemoor::core {
 
 void OversizedBlockSplit::tick() {
     if (!ctx_.member || ctx_.to_part.empty()) {
@@ -40,8 +17,8 @@
     }
     for (const auto& uid : std::exchange(ctx_.to_part, {})) {
         const Job* job = ctx_.jobs.find(uid);
-        if (job != nullptr && job->page_size == 0 && parting_.count(uid) == 0) {
-            part(*job);
+        if (job != nullptr && job->page_size == 0 && splits_in_flight_.count(uid) == 0) {
+            split(*job);
         }
     }
 }
@@ -49,9 +26,9 @@
 // One small write turns a job's block records into what its pages are made from. Each page comes
 // with the first change of its tasks, conditional on the records it is made from: no step needs
 // more than one value, and a crash between two of them loses nothing.
-void OversizedBlockSplit::part(const Job& job) {
+void OversizedBlockSplit::split(const Job& job) {
     JobRecord record = job.record();
-    record.page_size = block_tasks(ctx_);
+    record.page_size = tasks_per_block(ctx_);
     std::size_t room = ctx_.value_max() - constants::block_frame_bytes;
     for (const auto& [k, b] : job.blocks) {
         // Names may be longer than a block's size reckons with.
@@ -70,9 +47,9 @@
     txn.writes = {{keys::job(job.spec.uid), encode(record)}};
     ctx_.info("job {}: its blocks are too large, parted into pages of {} tasks", job.spec.uid,
               record.page_size);
-    parting_.insert(job.spec.uid);
+    splits_in_flight_.insert(job.spec.uid);
     ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StateReply& r) {
-        ctx_.when_settled(r, [this, uid] { parting_.erase(uid); });
+        ctx_.when_settled(r, [this, uid] { splits_in_flight_.erase(uid); });
     });
 }
 
--- a/src/core/jobs/oversized_block_split.hpp
+++ b/src/core/jobs/oversized_block_split.hpp
@@ -1,5 +1,5 @@
-// OversizedBlockSplit: parts jobs whose block records, written under a larger limit, can't be put
-// any more.
+// OversizedBlockSplit: splits the block records of jobs that were written under a larger value
+// limit and that can't be written again under the present one.
 #pragma once
 
 #include <set>
@@ -9,23 +9,21 @@
 
 namespace cranemoor::core {
 
-// The tasks of a block of that many bytes that fit under the smaller limit; even, so that
-// per-block spread rules add up.
-int block_tasks(const Context& ctx);
-// Tasks of the largest gang that one transaction can claim: larger ones can never start whole.
-int largest_gang(const Context& ctx);
-
+/// Gives the jobs named in `Context::to_part` pages: smaller blocks with records of their own.
 class OversizedBlockSplit {
   public:
+    /// Reads the replica and sends writes through `ctx`, which must outlive this.
     explicit OversizedBlockSplit(Context& ctx) : ctx_(ctx) {}
 
+    /// One step per controller tick: splits the jobs asked for since the last one, once all
+    /// controllers understand split jobs.
     void tick();
 
   private:
-    void part(const Job& job);
+    void split(const Job& job);
 
     Context& ctx_;
-    std::set<std::string> parting_;
+    std::set<std::string> splits_in_flight_;  // uids of jobs with a write of ours under way
 };
 
 }  // namespace cranemoor::core
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -84,9 +84,9 @@
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(next)},
                   {keys::member(self.name), encode_member(self), lease_.id()}};
-    if (ctx_.jobs.level(self.name) < level_now) {
+    if (ctx_.jobs.level(self.name) < current_feature_level) {
         txn.writes.push_back(
-            {keys::version(self.name), Json{{"name", self.name}, {"level", level_now}}});
+            {keys::version(self.name), encode_level(self.name, current_feature_level)});
     }
     ctx_.txn(std::move(txn), [this](const StateReply& reply) { on_join_reply(reply); });
 }
--- a/src/core/requests/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-#include "core/jobs/oversized_block_split.hpp"
+#include "core/jobs/block_limits.hpp"
 
 namespace cranemoor::core {
 
@@ -322,9 +322,9 @@
         (team->limit.gpus > 0 && need.gpus > team->limit.gpus + Resources::slack)) {
         return "more than the team's limit";
     }
-    if (s.kind == JobKind::gang && s.tasks > largest_gang(ctx_)) {
+    if (s.kind == JobKind::gang && s.tasks > max_gang_tasks(ctx_)) {
         return fmt::format("a gang of more than {} tasks can't be started whole",
-                           largest_gang(ctx_));
+                           max_gang_tasks(ctx_));
     }
     return "";
 }
@@ -518,7 +518,7 @@
     JobRecord record;
     record.spec = a.spec;
     record.submitted_wall = ctx_.now.wall;
-    record.block_size = block_tasks(ctx_);
+    record.block_size = tasks_per_block(ctx_);
     record.waiting = !a.spec.follows.empty();
     record.follow_parts = a.parts;
     record.cancelled_wall = a.cancelled ? std::max(1.0, ctx_.now.wall) : 0;
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -28,7 +28,8 @@
         next_pressure_log_s_ = t + constants::pressure_word_every_s;
         ctx_.info("pressure: {}", ctx_.overload.take_words(t));
     }
-    if (membership_.is_leader() && membership_.has_store_contact() && ctx_.upgraded(level_now)) {
+    if (membership_.is_leader() && membership_.has_store_contact() &&
+        ctx_.upgraded(current_feature_level)) {
         update_table();
     }
 }
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -69,7 +69,7 @@
 
 void ClaimWriter::add_batched_claim(const Job& job, int block, const Block& next,
                                     const std::vector<std::string>& machines) {
-    Entry entry;
+    BatchEntry entry;
     entry.uid = job.spec.uid;
     entry.block = block;
     for (const auto& [task, placement] : next.placed) {
--- a/src/core/store/claim_batch_index.cpp
+++ b/src/core/store/claim_batch_index.cpp
@@ -19,12 +19,12 @@
     return true;
 }
 
-bool same_entry(const Entry& a, const Entry& b) {
+bool same_entry(const BatchEntry& a, const BatchEntry& b) {
     return a.at == b.at && a.block == b.block && a.uid == b.uid;
 }
 }  // namespace
 
-void apply_claims(Block& block, const Entry& entry) {
+void apply_claims(Block& block, const BatchEntry& entry) {
     block.merged = std::max(block.merged, entry.at);
     for (const auto& [task, placement] : entry.placed) {
         auto known = block.placed.find(task);
@@ -36,7 +36,7 @@
     }
 }
 
-void apply_exits(Block& block, const Entry& entry, const TaskRange& tasks) {
+void apply_exits(Block& block, const BatchEntry& entry, const TaskRange& tasks) {
     block.merged = std::max(block.merged, entry.at);
     for (const auto& [task, attempt] : entry.done) {
         if (remove_placement(block, task, attempt, tasks)) {
@@ -48,12 +48,12 @@
     }
 }
 
-void apply_entry(Block& block, const Entry& entry) {
+void apply_entry(Block& block, const BatchEntry& entry) {
     apply_claims(block, entry);
     apply_exits(block, entry, {0, std::numeric_limits<int>::max()});
 }
 
-BatchEntries ClaimBatchIndex::put(const std::string& key, const Sheet& batch) {
+BatchEntries ClaimBatchIndex::put(const std::string& key, const ClaimBatch& batch) {
     BatchEntries added;
     BatchEntries before = std::exchange(by_key_[key], {});
     BatchEntries& now = by_key_[key];
@@ -67,7 +67,7 @@
             next = std::next(known);
             continue;
         }
-        now.push_back(std::make_shared<const Entry>(entry));
+        now.push_back(std::make_shared<const BatchEntry>(entry));
         by_job_[entry.uid].push_back(now.back());
         added.push_back(now.back());
     }
@@ -82,7 +82,7 @@
     return added;
 }
 
-void ClaimBatchIndex::remove_from_job(const std::shared_ptr<const Entry>& entry) {
+void ClaimBatchIndex::remove_from_job(const std::shared_ptr<const BatchEntry>& entry) {
     auto& entries = by_job_[entry->uid];
     std::erase(entries, entry);
     if (entries.empty()) {
--- a/src/core/store/claim_batch_index.hpp
+++ b/src/core/store/claim_batch_index.hpp
@@ -13,31 +13,23 @@
 namespace cranemoor::core {
 
 /// Entries of batch records, shared between the index by record and the index by job.
-using BatchEntries = std::vector<std::shared_ptr<const Entry>>;
-
-/// A range of task numbers, both ends included.
-struct TaskRange {
-    int first = 0;
-    int last = 0;
-    /// Whether the range holds the task.
-    bool contains(int task) const { return task >= first && task <= last; }
-};
+using BatchEntries = std::vector<std::shared_ptr<const BatchEntry>>;
 
 /// Applies the claims of an entry to a block, as far as they are newer than what it holds. Applying
 /// an entry twice changes nothing, and a task that has ended is never placed again under the same
 /// attempt.
-void apply_claims(Block& block, const Entry& entry);
+void apply_claims(Block& block, const BatchEntry& entry);
 /// Applies the task exits of an entry to the tasks of a block that are in `tasks`.
-void apply_exits(Block& block, const Entry& entry, const TaskRange& tasks);
+void apply_exits(Block& block, const BatchEntry& entry, const TaskRange& tasks);
 /// Applies the claims and the exits of an entry to a block.
-void apply_entry(Block& block, const Entry& entry);
+void apply_entry(Block& block, const BatchEntry& entry);
 
 /// Index of the entries of all batch records. `JobStore` keeps it.
 class ClaimBatchIndex {
   public:
     /// Takes in a batch record in place of its earlier value; an empty one removes the key. Returns
     /// the entries that the earlier value did not hold, in the order of the record.
-    BatchEntries put(const std::string& key, const Sheet& batch);
+    BatchEntries put(const std::string& key, const ClaimBatch& batch);
     /// Sorts the entries of each job by the revision of the write that brought them.
     void sort_by_revision();
 
@@ -49,7 +41,7 @@
     const BatchEntries& of_job(const std::string& uid) const;
 
   private:
-    void remove_from_job(const std::shared_ptr<const Entry>& entry);
+    void remove_from_job(const std::shared_ptr<const BatchEntry>& entry);
 
     std::map<std::string, BatchEntries> by_key_;
     std::unordered_map<std::string, BatchEntries> by_job_;
--- a/src/core/store/job.cpp
+++ b/src/core/store/job.cpp
@@ -1,5 +1,8 @@
 #include "core/store/job.hpp"
 
+#include "core/store/record_codec.hpp"
+#include "core/store/record_keys.hpp"
+
 namespace cranemoor::core {
 
 namespace {
--- a/src/core/store/job_store.cpp
+++ b/src/core/store/job_store.cpp
@@ -214,7 +214,7 @@
            placements_.agrees_with(by_machine);
 }
 
-bool JobStore::needed(const Entry& entry) const {
+bool JobStore::needed(const BatchEntry& entry) const {
     const Job* job = find(entry.uid);
     return job != nullptr && (job->page_size > 0 || job->block(entry.block).recorded < entry.at);
 }
@@ -229,9 +229,9 @@
     return {{keys::job(job.spec.uid), 0}, {keys::finished(job.spec.uid), 0}};
 }
 
-int JobStore::level(const std::string& name) const {
+FeatureLevel JobStore::level(const std::string& name) const {
     auto it = levels_.find(keys::version(name));
-    return it == levels_.end() ? 0 : it->second;
+    return it == levels_.end() ? FeatureLevel::none : it->second;
 }
 
 const Job* JobStore::find(const std::string& uid) const {
@@ -244,7 +244,7 @@
     return it == jobs_.end() || !it->second.final ? nullptr : &*it->second.final;
 }
 
-const Mark* JobStore::mark(const std::string& machine) const {
+const Cordon* JobStore::mark(const std::string& machine) const {
     const auto& mark = placements_.find(machine).mark;
     return mark ? &*mark : nullptr;
 }
--- a/src/core/store/job_store.hpp
+++ b/src/core/store/job_store.hpp
@@ -21,6 +21,8 @@
 #include "core/store/job.hpp"
 #include "core/store/listing_index.hpp"
 #include "core/store/placement_index.hpp"
+#include "core/store/record_codec.hpp"
+#include "core/store/record_keys.hpp"
 #include "core/store/records.hpp"
 
 namespace cranemoor::core {
@@ -64,8 +66,8 @@
     const std::optional<admission::Table>& table() const { return table_; }
     /// The quota slices of each team, by key.
     const std::map<std::string, Slices>& slices() const { return slices_; }
-    /// The highest feature level that the controller of that name has run, see `level_now`.
-    int level(const std::string& name) const;
+    /// The highest feature level that the controller of that name has run, none if it is unknown.
+    FeatureLevel level(const std::string& name) const;
 
     /// All jobs with any record, by uid.
     const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
@@ -94,9 +96,11 @@
     bool indexes_agree() const;
 
     /// The entries of each record of batched claims, by key.
-    const std::map<std::string, BatchEntries>& sheets() const { return claim_batches_.records(); }
+    const std::map<std::string, BatchEntries>& claim_batches() const {
+        return claim_batches_.records();
+    }
     /// Whether a batch record must keep that entry, since no other record holds what it says.
-    bool needed(const Entry& entry) const;
+    bool needed(const BatchEntry& entry) const;
 
     /// What the records say of a machine, see `PlacementIndex::machine`. To be asked again after
     /// each full read.
@@ -110,9 +114,9 @@
         return placements_.find(machine).tasks;
     }
     /// The records of cordoned machines, by key.
-    const std::map<std::string, Marks>& marks() const { return placements_.marks(); }
+    const std::map<std::string, CordonBatch>& marks() const { return placements_.marks(); }
     /// The cordon of a machine, or none.
-    const Mark* mark(const std::string& machine) const;
+    const Cordon* mark(const std::string& machine) const;
     /// The placement of a task of a live job, or none.
     const Placement* placement(const TaskId& id) const;
     /// What the placed tasks of a team take.
@@ -144,7 +148,7 @@
     void put_block(const IndexedKey& key, Block next);
     void put_page(const IndexedKey& key, Block next);
     void put_dependencies(const IndexedKey& key, std::vector<std::string> part);
-    void put_claim_batch(const std::string& key, const Sheet& batch);
+    void put_claim_batch(const std::string& key, const ClaimBatch& batch);
     void put_quota(const std::string& key, const Json& value, Revision revision);
     void put_marks(const std::string& key, const Json& value, Revision revision);
     void drop(const std::string& key);
@@ -159,8 +163,8 @@
     void remove_block(Job& job, int index);
     void remove_blocks_without_record(Job& job);
     void apply_batch_entries(const IndexedKey& key, Block& next) const;
-    void apply_batch_entry(const Entry& entry);
-    void apply_batch_entry_to_pages(Job& job, const Entry& entry);
+    void apply_batch_entry(const BatchEntry& entry);
+    void apply_batch_entry_to_pages(Job& job, const BatchEntry& entry);
     void derive_page(Job& job, int index);
     void derive_missing_pages(Job& job);
     void gather_dependencies(const std::string& uid);
@@ -181,7 +185,7 @@
     std::map<std::string, Member> member_keys_;
     std::optional<admission::Table> table_;
     std::map<std::string, Slices> slices_;
-    std::map<std::string, int> levels_;  // by key
+    std::map<std::string, FeatureLevel> levels_;  // by key
     std::unordered_map<std::string, Job> jobs_;
     std::map<std::string, DependencyParts> follow_parts_;
     ListingIndex listings_;
--- a/src/core/store/job_store_blocks.cpp
+++ b/src/core/store/job_store_blocks.cpp
@@ -17,9 +17,9 @@
                        record.placed.upper_bound(tasks.last));
     for (const auto& range : record.done) {
         int first = std::max(range.first, tasks.first);
-        int last = std::min(range.second, tasks.last);
+        int last = std::min(range.last, tasks.last);
         if (first <= last) {
-            page.done.emplace_back(first, last);
+            page.done.push_back({first, last});
             page.done_total += last - first + 1;
         }
     }
@@ -73,7 +73,7 @@
     }
 }
 
-void JobStore::apply_batch_entry(const Entry& entry) {
+void JobStore::apply_batch_entry(const BatchEntry& entry) {
     auto it = jobs_.find(entry.uid);
     if (!loaded_ || it == jobs_.end() || it->second.revision == 0 || it->second.final) {
         return;  // applied once the job is known, or of no use any more
@@ -90,7 +90,7 @@
 }
 
 // A job's blocks may have been split after the entry was written.
-void JobStore::apply_batch_entry_to_pages(Job& job, const Entry& entry) {
+void JobStore::apply_batch_entry_to_pages(Job& job, const BatchEntry& entry) {
     Block& record = job.whole[entry.block];
     if (record.merged < entry.at) {
         apply_entry(record, entry);
--- a/src/core/store/job_store_records.cpp
+++ b/src/core/store/job_store_records.cpp
@@ -37,13 +37,13 @@
             table_ = decode_table(value, revision);
             break;
         case RecordKind::claim_batch:
-            put_claim_batch(key, decode_sheet(value, revision));
+            put_claim_batch(key, decode_claim_batch(value, revision));
             break;
         case RecordKind::quota:
             slices_[key] = decode_slices(value, revision);
             break;
         case RecordKind::cordons:
-            placements_.put_marks(key, decode_marks(value, revision));
+            placements_.put_marks(key, decode_cordons(value, revision));
             break;
         case RecordKind::unknown:
             break;
@@ -287,7 +287,7 @@
     touched_jobs_.insert(uid);
 }
 
-void JobStore::put_claim_batch(const std::string& key, const Sheet& batch) {
+void JobStore::put_claim_batch(const std::string& key, const ClaimBatch& batch) {
     for (const auto& entry : claim_batches_.put(key, batch)) {
         apply_batch_entry(*entry);
     }
--- a/src/core/store/listing_index.hpp
+++ b/src/core/store/listing_index.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/store/records.hpp"
+#include "core/store/record_codec.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -57,7 +57,7 @@
     }
 }
 
-void PlacementIndex::put_marks(const std::string& key, Marks marks) {
+void PlacementIndex::put_marks(const std::string& key, CordonBatch marks) {
     auto changed = std::exchange(marks_[key].machines, {});
     changed.insert(marks.machines.begin(), marks.machines.end());
     marks_[key] = std::move(marks);
@@ -84,7 +84,7 @@
         for (const auto& name : machines) {
             if (marks.machines.count(name) != 0) {
                 auto& kept = entry(name)->mark;
-                Mark& mark = kept ? *kept : kept.emplace();
+                Cordon& mark = kept ? *kept : kept.emplace();
                 mark.fence = mark.fence || marks.fence;
                 mark.gone = mark.gone || marks.gone.count(name) != 0;
             }
--- a/src/core/store/placement_index.hpp
+++ b/src/core/store/placement_index.hpp
@@ -25,8 +25,8 @@
 /// What the records say of one machine.
 struct MachinePlacements {
     std::map<TaskId, PlacedTask> tasks;
-    Resources used;            ///< by these tasks
-    std::optional<Mark> mark;  ///< the cordon, over all records that name the machine
+    Resources used;              ///< by these tasks
+    std::optional<Cordon> mark;  ///< the cordon, over all records that name the machine
 };
 
 /// Index of placements by machine and by team, and of cordons by machine. `JobStore` keeps it.
@@ -48,11 +48,11 @@
     void forget_unused_machines();
 
     /// Takes in a record of cordoned machines in place of its earlier value.
-    void put_marks(const std::string& key, Marks marks);
+    void put_marks(const std::string& key, CordonBatch marks);
     /// Takes in that a record of cordoned machines was deleted.
     void drop_marks(const std::string& key);
     /// The records of cordoned machines, by key.
-    const std::map<std::string, Marks>& marks() const { return marks_; }
+    const std::map<std::string, CordonBatch>& marks() const { return marks_; }
 
     /// What the placed tasks of a team take.
     const Resources& used(const std::string& team) const;
@@ -75,7 +75,7 @@
     void update_cordons(const std::set<std::string>& machines);
 
     std::unordered_map<std::string, std::shared_ptr<MachinePlacements>> machines_;
-    std::map<std::string, Marks> marks_;
+    std::map<std::string, CordonBatch> marks_;
     std::set<std::string> touched_machines_;
     std::map<std::string, Resources> used_by_team_;
     std::map<TeamMember, Resources> used_by_member_;
--- a/tests/change_test.cpp
+++ b/tests/change_test.cpp
@@ -3,7 +3,7 @@
 #include <array>
 
 #include "cluster_fixtures.hpp"
-#include "core/store/records.hpp"
+#include "core/store/record_codec.hpp"
 
 namespace cranemoor::test {
 namespace {
