--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -279,7 +279,7 @@
 // Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
 // but the epoch is a condition of it.
 void PendingTaskExits::write_batched(const std::vector<BlockRef>& due) {
-    std::vector<Entry> entries;
+    std::vector<BatchEntry> entries;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     std::size_t bytes = 0;
@@ -288,11 +288,11 @@
         const Job& job = *ctx_.jobs.find(ref.uid);
         auto key = job.block_key(ref.block);
         BlockExits& pending = pending_.at(ref);
-        Entry entry;
+        BatchEntry entry;
         entry.uid = ref.uid;
         entry.block = ref.block;
         for (const auto& [task, task_exit] : pending.tasks) {
-            (task_exit.is_done() ? entry.done : entry.lost).emplace_back(task, task_exit.attempt);
+            (task_exit.is_done() ? entry.done : entry.lost).push_back({task, task_exit.attempt});
         }
         std::size_t more = bytes_of(entry);
         if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -5,7 +5,7 @@
 namespace cranemoor::core {
 
 void ReleaseMarks::mark(Machine& machine, const std::string& why, bool fence) {
-    const Mark* existing = ctx_.jobs.mark(machine.name);
+    const Cordon* existing = ctx_.jobs.mark(machine.name);
     if (machine.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
         (existing != nullptr && (existing->fence || !fence))) {
         return;
@@ -20,7 +20,7 @@
     Batch batch;
     batch.txn.purpose = Txn::Purpose::mark;
     for (const auto& [reason, names] : waiting) {
-        Marks marks;
+        CordonBatch marks;
         marks.why = reason.why;
         marks.fence = reason.fence;
         auto next = names.begin();
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -107,7 +107,7 @@
 
 // The cloud provider's reply to a release is the proof that everything on the machine has ended.
 void TaskReconciliation::record_exits_of_released(const std::string& name) {
-    const Mark* mark = ctx_.jobs.mark(name);
+    const Cordon* mark = ctx_.jobs.mark(name);
     if (mark == nullptr || !mark->gone) {
         return;
     }
--- a/src/core/requests/submission_validation.cpp
+++ b/src/core/requests/submission_validation.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string>
 
-#include "core/jobs/oversized_block_split.hpp"
+#include "core/jobs/block_limits.hpp"
 
 namespace cranemoor::core {
 
@@ -43,8 +43,8 @@
     if (exceeds_limit(spec, team->limit)) {
         return Rejection{RejectionReason::over_team_limit};
     }
-    if (spec.kind == JobKind::gang && spec.tasks > largest_gang(ctx)) {
-        return Rejection{RejectionReason::gang_too_large, std::to_string(largest_gang(ctx))};
+    if (spec.kind == JobKind::gang && spec.tasks > max_gang_tasks(ctx)) {
+        return Rejection{RejectionReason::gang_too_large, std::to_string(max_gang_tasks(ctx))};
     }
     return std::nullopt;
 }
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/jobs/oversized_block_split.hpp"
+#include "core/jobs/block_limits.hpp"
 
 namespace cranemoor::core {
 
@@ -114,7 +114,7 @@
     JobRecord record;
     record.spec = submission.spec;
     record.submitted_wall = ctx_.now.wall;
-    record.block_size = block_tasks(ctx_);
+    record.block_size = tasks_per_block(ctx_);
     record.waiting = !submission.spec.follows.empty();
     record.follow_parts = submission.follow_parts;
     record.cancelled_wall = submission.cancelled ? std::max(1.0, ctx_.now.wall) : 0;
