--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -230,7 +230,7 @@
         return;
     }
     const Member* owner = membership_.owner(r.machine, r.zone);
-    if (owner == nullptr || owner->id != ctx_.me.id) {
+    if (owner == nullptr || owner->id != ctx_.self.id) {
         redirect_heartbeat(request, r, owner, relayed);
         return;
     }
@@ -607,8 +607,8 @@
 void Fleet::epoch_changed(const std::optional<Epoch>& before) {
     const auto& epoch = ctx_.jobs.epoch();
     // Only from one epoch to the next is it certain that nobody else owned a machine between.
-    bool next = before && epoch && epoch->number == before->number + 1 && ctx_.member &&
-                before->has(ctx_.me.id);
+    bool next = before && epoch && epoch->number == before->number + 1 && ctx_.is_member &&
+                before->has(ctx_.self.id);
     int taken = 0;
     for (auto& [name, m] : machines_) {
         bool mine = membership_.owned_by_us(name, m.zone);
@@ -719,7 +719,7 @@
 
 void Fleet::mark_for_release(Machine& m, const std::string& why, bool fence) {
     const Mark* old = ctx_.jobs.mark(m.name);
-    if (m.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
+    if (m.release_mark_pending || !ctx_.is_member || !membership_.has_store_contact() ||
         (old != nullptr && (old->fence || !fence))) {
         return;
     }
@@ -765,7 +765,7 @@
                 names.insert(*next);
                 ++next;
             }
-            auto key = keys::marks(ctx_.me.id, ++ctx_.marks_made);
+            auto key = keys::marks(ctx_.self.id, ++ctx_.mark_records_written);
             txn.conditions.push_back({key, 0});
             txn.writes.push_back({key, encode(marks)});
             if (txn.writes.size() >= ctx_.ops_max()) {
@@ -976,10 +976,10 @@
         }
         ++it;
         note_empty(m);
-        if (ctx_.member && m.owned_by_us) {
+        if (ctx_.is_member && m.owned_by_us) {
             resend_pending_stops(m);
         }
-        if (ctx_.member && m.owned_by_us && !site(m).mark) {
+        if (ctx_.is_member && m.owned_by_us && !site(m).mark) {
             checkpoint_before_interruption(m);
             check_liveness(m, silence);
         }
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -14,7 +14,7 @@
 
 void GangPreemption::request_preemption(const Job& job, const std::string& why) {
     auto key = job.block_key(0);
-    if (!ctx_.member || job.stopping() || ctx_.busy.count(key) != 0) {
+    if (!ctx_.is_member || job.stopping() || ctx_.blocks_in_flight.count(key) != 0) {
         return;
     }
     Block next = job.block(0);
@@ -23,10 +23,10 @@
     txn.conditions = ctx_.jobs.alive(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     job.add_block(0, next, txn);
-    ctx_.busy.insert(key);
+    ctx_.blocks_in_flight.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
     ctx_.txn(std::move(txn), [this, key](const StateReply& r) {
-        ctx_.when_settled(r, [this, key] { ctx_.busy.erase(key); });
+        ctx_.when_settled(r, [this, key] { ctx_.blocks_in_flight.erase(key); });
     });
 }
 
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -120,7 +120,7 @@
 }
 
 void PendingTaskExits::flush() {
-    if (!ctx_.member) {
+    if (!ctx_.is_member) {
         return;
     }
     std::vector<BlockRef> blocks;
@@ -218,7 +218,7 @@
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(r, [this, taken, blocks] {
         for (const auto& key : taken) {
-            ctx_.busy.erase(key);
+            ctx_.blocks_in_flight.erase(key);
         }
         for (const auto& which : blocks) {
             if (auto it = pending_.find(which); it != pending_.end()) {
@@ -262,7 +262,7 @@
         }
         std::size_t more = bytes_of(entry);
         if (wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
-            ctx_.busy.count(key) != 0) {
+            ctx_.blocks_in_flight.count(key) != 0) {
             pending.needs_review = true;
             continue;
         }
@@ -274,7 +274,7 @@
     if (entries.empty()) {
         return;
     }
-    ctx_.busy.insert(taken.begin(), taken.end());
+    ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
     batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
@@ -289,7 +289,7 @@
     const auto& [uid, k] = which;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(k);
-    if (ctx_.busy.count(key) != 0) {
+    if (ctx_.blocks_in_flight.count(key) != 0) {
         return false;
     }
     const Block& old = job.block(k);
@@ -300,13 +300,13 @@
     // Else complete_finished_jobs does it once the blocks are written.
     completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
     for (const auto& [other, b] : job.blocks) {
-        completes = completes && ctx_.busy.count(job.block_key(other)) == 0;
+        completes = completes && ctx_.blocks_in_flight.count(job.block_key(other)) == 0;
     }
     if (!completes && bytes_of(next) > ctx_.value_max()) {
         // Written by the version before, under a larger limit.
         bool bearable = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
         if (!bearable) {
-            ctx_.to_part.insert(uid);
+            ctx_.jobs_to_split.insert(uid);
             return false;
         }
     }
@@ -323,7 +323,7 @@
         return false;
     }
     append(txn, std::move(more));
-    ctx_.busy.insert(changed.begin(), changed.end());
+    ctx_.blocks_in_flight.insert(changed.begin(), changed.end());
     taken.insert(taken.end(), changed.begin(), changed.end());
     return true;
 }
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -84,7 +84,7 @@
 
 void Autoscaler::tick() {
     look_at_types();
-    if (!ctx_.member) {
+    if (!ctx_.is_member) {
         return;
     }
     double t = ctx_.now.steady;
@@ -275,7 +275,7 @@
     auto put = [&] {
         if (!apart.machines.empty() && txn.writes.size() < ctx_.ops_max()) {
             apart.gone = apart.machines;
-            auto key = keys::marks(ctx_.me.id, ++ctx_.marks_made);
+            auto key = keys::marks(ctx_.self.id, ++ctx_.mark_records_written);
             txn.conditions.push_back({key, 0});
             txn.writes.push_back({key, encode(apart)});
         }
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -45,7 +45,7 @@
 void Controller::tick(Now now) {
     ctx_.now = now;
     membership_.tick();
-    if (!ctx_.whole) {
+    if (!ctx_.replica_complete) {
         // Guards against decisions from half of the records, while they are read anew: blocks of
         // jobs that are still to come would be removed, machines that still run tasks returned.
         requests_.tick();
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -50,7 +50,7 @@
         return true;
     }
     auto hash = stable_hash(fmt::format("{}/{}", job.spec.uid, block));
-    return admission::shard_owner(hash, weighted_members(job.spec.zone)) == ctx_.me.id;
+    return admission::shard_owner(hash, weighted_members(job.spec.zone)) == ctx_.self.id;
 }
 
 Condition BatchedClaims::table_condition() const {
@@ -104,7 +104,7 @@
             return {key, doubt.revision};
         }
     }
-    auto prefix = prefix_of(ctx_.me.id);
+    auto prefix = prefix_of(ctx_.self.id);
     std::string best;
     auto least = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
                                           constants::sheet_kept_share);
@@ -130,10 +130,10 @@
         return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.count(key) != 0 ||
                unknown_outcomes_.count(key) != 0;
     };
-    while (taken(keys::sheet(ctx_.me.id, n))) {
+    while (taken(keys::sheet(ctx_.self.id, n))) {
         ++n;
     }
-    return {keys::sheet(ctx_.me.id, n), 0};
+    return {keys::sheet(ctx_.self.id, n), 0};
 }
 
 // What is still needed of a record is written again with what is new.
@@ -167,7 +167,7 @@
             it = unknown_outcomes_.erase(it);
             continue;
         }
-        if (writes_in_flight_.count(key) == 0 && ctx_.member &&
+        if (writes_in_flight_.count(key) == 0 && ctx_.is_member &&
             ctx_.now.steady >= doubt.next_retry_s) {
             doubt.next_retry_s = ctx_.now.steady + constants::retry_state_s;
             Sheet sheet;
@@ -217,11 +217,11 @@
 
 // Whether a record of sheets has nothing that anybody needs, and nobody will write it again.
 bool BatchedClaims::is_retirable(const std::string& key) const {
-    auto prefix = prefix_of(ctx_.me.id);
+    auto prefix = prefix_of(ctx_.self.id);
     const auto& table = ctx_.jobs.table();
     const auto& epoch = ctx_.jobs.epoch();
     bool own_record = key.compare(0, prefix.size(), prefix) == 0;
-    bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.me.id;
+    bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
     bool no_writer_left =
         own_record ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
     return no_writer_left && writes_in_flight_.count(key) == 0 &&
@@ -230,7 +230,7 @@
 
 void BatchedClaims::tick() {
     resolve_unknown_outcomes();
-    if (!ctx_.member || retire_in_flight_ || ctx_.now.steady < next_retire_s_) {
+    if (!ctx_.is_member || retire_in_flight_ || ctx_.now.steady < next_retire_s_) {
         return;
     }
     next_retire_s_ = ctx_.now.steady + constants::retire_every_s;
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -125,12 +125,12 @@
 // of the version before, it may be the leading one.
 bool Dependencies::acting() const {
     const auto& epoch = ctx_.jobs.epoch();
-    if (!ctx_.member || !epoch || !membership_.has_store_contact()) {
+    if (!ctx_.is_member || !epoch || !membership_.has_store_contact()) {
         return false;
     }
     for (const auto& m : epoch->members) {
         if (ctx_.jobs.level(m.name) >= 1) {
-            return m.id == ctx_.me.id;
+            return m.id == ctx_.self.id;
         }
     }
     return false;
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -40,7 +40,7 @@
         }
         const Job& job = ctx_.jobs.jobs().at(uid);
         bool busy = std::any_of(job.blocks.begin(), job.blocks.end(), [&](const auto& b) {
-            return ctx_.busy.count(job.block_key(b.first)) != 0;
+            return ctx_.blocks_in_flight.count(job.block_key(b.first)) != 0;
         });
         if (busy) {
             continue;
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -31,14 +31,14 @@
 }
 
 void OversizedBlockSplit::tick() {
-    if (!ctx_.member || ctx_.to_part.empty()) {
+    if (!ctx_.is_member || ctx_.jobs_to_split.empty()) {
         return;
     }
     if (!ctx_.upgraded()) {
-        ctx_.to_part.clear();  // whoever needs it asks again
+        ctx_.jobs_to_split.clear();  // whoever needs it asks again
         return;
     }
-    for (const auto& uid : std::exchange(ctx_.to_part, {})) {
+    for (const auto& uid : std::exchange(ctx_.jobs_to_split, {})) {
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && job->page_size == 0 && parting_.count(uid) == 0) {
             part(*job);
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -14,20 +14,20 @@
     bool is_member = false;
     if (epoch) {
         const Member* member = epoch->find(ctx_.settings.name);
-        is_member = member != nullptr && member->boot == ctx_.boot;
+        is_member = member != nullptr && member->boot == ctx_.boot_id;
         ctx_.fencing_token = epoch->number;
         if (is_member) {
-            ctx_.me = *member;
+            ctx_.self = *member;
         }
         log_epoch(*epoch);
     }
-    if (ctx_.member && !is_member) {
+    if (ctx_.is_member && !is_member) {
         ctx_.info("epoch {}: this process is no longer a member", ctx_.fencing_token);
-        ctx_.member = false;
+        ctx_.is_member = false;
         // The lease may live on; a new one tells the two memberships apart.
         lease_.replace();
     }
-    ctx_.member = is_member;
+    ctx_.is_member = is_member;
     observed_epoch_ = epoch;
     return true;
 }
@@ -50,7 +50,7 @@
 bool LeaderElection::has_joined() const {
     const auto& records = ctx_.jobs.member_keys();
     auto record = records.find(keys::member(ctx_.settings.name));
-    return ctx_.member && record != records.end() && record->second.boot == ctx_.boot;
+    return ctx_.is_member && record != records.end() && record->second.boot == ctx_.boot_id;
 }
 
 void LeaderElection::join() {
@@ -72,7 +72,7 @@
             }
         }
     }
-    next.members.push_back({ctx_.settings.name, ctx_.settings.zone, ctx_.boot, next.number});
+    next.members.push_back({ctx_.settings.name, ctx_.settings.zone, ctx_.boot_id, next.number});
     return next;
 }
 
@@ -115,7 +115,7 @@
 
 void LeaderElection::remove_dead_members() {
     const auto& epoch = ctx_.jobs.epoch();
-    if (!epoch || !ctx_.member || removal_in_flight_) {
+    if (!epoch || !ctx_.is_member || removal_in_flight_) {
         return;
     }
     Epoch survivors;
@@ -125,7 +125,7 @@
             survivors.members.push_back(member);
         }
     }
-    if (survivors.members.size() == epoch->members.size() || !survivors.has(ctx_.me.id)) {
+    if (survivors.members.size() == epoch->members.size() || !survivors.has(ctx_.self.id)) {
         dead_since_s_ = -1;
         return;
     }
@@ -140,7 +140,7 @@
         dead_since_s_ = ctx_.now.steady;
     }
     int rank = 0;
-    while (survivors.members[static_cast<std::size_t>(rank)].id != ctx_.me.id) {
+    while (survivors.members[static_cast<std::size_t>(rank)].id != ctx_.self.id) {
         ++rank;
     }
     return ctx_.now.steady >= dead_since_s_ + rank * constants::removal_stagger_s;
@@ -179,13 +179,13 @@
 
 bool LeaderElection::owned_by_us(const std::string& machine, const std::string& zone) const {
     const Member* member = owner(machine, zone);
-    return ctx_.member && member != nullptr && member->id == ctx_.me.id;
+    return ctx_.is_member && member != nullptr && member->id == ctx_.self.id;
 }
 
 bool LeaderElection::is_leader() const {
     const auto& epoch = ctx_.jobs.epoch();
-    return ctx_.member && epoch && !epoch->members.empty() &&
-           epoch->members.front().id == ctx_.me.id;
+    return ctx_.is_member && epoch && !epoch->members.empty() &&
+           epoch->members.front().id == ctx_.self.id;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -40,7 +40,7 @@
 void Membership::on_replica_changed() {
     std::optional<Epoch> before = election_.observed_epoch();
     bool epoch_changed = election_.observe_epoch();
-    ctx_.whole = true;
+    ctx_.replica_complete = true;
     has_noted_cancellation_ = false;
     if (on_change) {
         on_change(epoch_changed, before);
@@ -71,7 +71,7 @@
 }
 
 void Membership::take_in_noted_cancellations() {
-    if (has_noted_cancellation_ && ctx_.whole && on_change) {
+    if (has_noted_cancellation_ && ctx_.replica_complete && on_change) {
         has_noted_cancellation_ = false;
         on_change(false, election_.observed_epoch());
     }
@@ -84,7 +84,7 @@
 // Guards against the gap: refused alone, while another controller confirms cancellations, and then
 // an outage for all, longer than cancel_s, in which "nobody has contact" says nothing of before.
 bool Membership::may_answer_workers() const {
-    if (!ctx_.member || !ctx_.whole) {
+    if (!ctx_.is_member || !ctx_.replica_complete) {
         return false;
     }
     // Refused alone: the sooner its workers move, the sooner their work goes on.
@@ -106,7 +106,7 @@
 }
 
 bool Membership::healthy() const {
-    return ctx_.member && (has_store_contact() || peers_.all_lack_store_contact());
+    return ctx_.is_member && (has_store_contact() || peers_.all_lack_store_contact());
 }
 
 }  // namespace cranemoor::core
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -17,8 +17,8 @@
 
 namespace cranemoor::core {
 
-/// The membership of this process. Its parts keep `Context::jobs`, `whole`, `me`, `member` and
-/// `fencing_token` up to date.
+/// The membership of this process. Its parts keep `Context::jobs`, `replica_complete`, `self`, `is_member`
+/// and `fencing_token` up to date.
 class Membership {
   public:
     explicit Membership(Context& ctx);
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -9,7 +9,7 @@
     for (const auto& peer : ctx_.settings.peers) {
         names.push_back(peer.name);
     }
-    leases_.emplace(names, ctx_.boot, ctx_.now.steady,
+    leases_.emplace(names, ctx_.boot_id, ctx_.now.steady,
                     read_leases::Times{constants::read_lease_s, constants::read_lease_margin_s,
                                        constants::peer_message_s});
 }
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -22,7 +22,7 @@
 void ReplicaSync::read_page(const std::string& after, Revision first_page_revision) {
     if (after.empty()) {
         ctx_.jobs.begin_load();
-        ctx_.whole = false;
+        ctx_.replica_complete = false;
     }
     reading_ = true;
     StateCall call;
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -54,7 +54,7 @@
             // conditional on an epoch with it: its slice is worth what they still take.
             s->second = at_least_zero(counted(ctx_.jobs.used(t.name, s->first), t));
         }
-        bool empty = none(s->second) && s->first != ctx_.me.id;
+        bool empty = none(s->second) && s->first != ctx_.self.id;
         s = empty ? next.held.erase(s) : std::next(s);
     }
     return next;
@@ -68,7 +68,7 @@
     if (unlimited(*t)) {
         return true;
     }
-    Resources wanted = ctx_.jobs.used(name, ctx_.me.id) + need;
+    Resources wanted = ctx_.jobs.used(name, ctx_.self.id) + need;
     if (auto p = pending_.find(name); p != pending_.end()) {
         wanted += p->second;
     }
@@ -76,7 +76,7 @@
     auto key = keys::quota(name);
     auto it = ctx_.jobs.slices().find(key);
     if (it != ctx_.jobs.slices().end()) {
-        auto mine = it->second.held.find(ctx_.me.id);
+        auto mine = it->second.held.find(ctx_.self.id);
         auto low = ceilings_.find(name);
         bool given_up = low != ceilings_.end() && low->second.revision == it->second.revision &&
                         !wanted.fits_in(low->second.amount);
@@ -85,7 +85,7 @@
         }
     }
     Slices next = trimmed(*t);
-    Resources& slice = next.held[ctx_.me.id];
+    Resources& slice = next.held[ctx_.self.id];
     const Resources before = slice;
     auto grow = [&](const Resources& to) {
         slice = {std::max(before.cpus, to.cpus), std::max(before.gpus, to.gpus),
@@ -135,7 +135,7 @@
 }
 
 void Quota::tick() {
-    if (!ctx_.member || ctx_.now.steady < next_return_) {
+    if (!ctx_.is_member || ctx_.now.steady < next_return_) {
         return;
     }
     next_return_ = ctx_.now.steady + constants::slice_return_every_s;
@@ -145,7 +145,7 @@
         if (unlimited(t) || it == ctx_.jobs.slices().end()) {
             continue;
         }
-        auto mine = it->second.held.find(ctx_.me.id);
+        auto mine = it->second.held.find(ctx_.self.id);
         if (mine == it->second.held.end()) {
             continue;
         }
@@ -157,14 +157,14 @@
         Resources near = it->second.total() + Resources{std::max(share.cpus, start.cpus),
                                                         std::max(share.gpus, start.gpus), 0};
         Resources used =
-            counted(at_least_zero(ctx_.jobs.used(t.name, ctx_.me.id)) + pending_[t.name], t);
+            counted(at_least_zero(ctx_.jobs.used(t.name, ctx_.self.id)) + pending_[t.name], t);
         bool surplus = mine->second.gpus > used.gpus + Resources::slack ||
                        mine->second.cpus > used.cpus + Resources::slack;
         if (within(near, t) || !surplus) {
             continue;
         }
         Slices next = trimmed(t);
-        next.held[ctx_.me.id] = used;
+        next.held[ctx_.self.id] = used;
         Txn txn;
         txn.conditions = {ctx_.epoch_condition(), {key, it->second.revision}};
         txn.writes = {{key, encode(next)}};
--- a/src/core/requests/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -206,7 +206,7 @@
 
 void Requests::freshly(std::uint64_t request, const std::string& uid, double wait_s,
                        std::function<void()> then) {
-    if (!ctx_.whole || !membership_.has_store_contact() || !has_room({})) {
+    if (!ctx_.replica_complete || !membership_.has_store_contact() || !has_room({})) {
         busy(request, uid);
         return;
     }
@@ -330,7 +330,7 @@
 }
 
 void Requests::submit(std::uint64_t request, const JobSpec& spec) {
-    if (!ctx_.member || fleet_.types().empty()) {
+    if (!ctx_.is_member || fleet_.types().empty()) {
         busy(request, spec.uid);
         return;
     }
@@ -418,7 +418,7 @@
 }
 
 void Requests::accept(std::uint64_t request, const JobSpec& spec, int tries, bool cancelled) {
-    if (!ctx_.member || tries == 0) {
+    if (!ctx_.is_member || tries == 0) {
         busy(request, spec.uid);
         return;
     }
@@ -502,8 +502,8 @@
             return;
         }
         if (!jobs.empty()) {
-            txn.writes.push_back(
-                {keys::accepted(ctx_.me.id, ++accepted_records_), encode_listing(std::move(jobs))});
+            txn.writes.push_back({keys::accepted(ctx_.self.id, ++accepted_records_),
+                                  encode_listing(std::move(jobs))});
         }
         ++accepts_open_;
         ctx_.txn(std::move(txn), [this, batch = std::move(batch)](const StateReply& r) {
@@ -660,7 +660,7 @@
                      [this, request, uid] { reply(request, 404, uid, "", "no such job"); });
         return;
     }
-    if (!ctx_.member || tries == 0) {
+    if (!ctx_.is_member || tries == 0) {
         busy(request, uid);
         return;
     }
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -20,7 +20,7 @@
 
 void AdmissionTableSync::tick() {
     double t = ctx_.now.steady;
-    if (!ctx_.member || t < next_tick_s_) {
+    if (!ctx_.is_member || t < next_tick_s_) {
         return;
     }
     next_tick_s_ = t + constants::accord_every_s;
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -103,7 +103,7 @@
 void ClaimWriter::take_claim(OpenTransaction& open, const Job& job, Claim claim,
                              const std::vector<std::string>& machines, int tasks) {
     InFlight& in_flight = open.in_flight;
-    ctx_.busy.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
+    ctx_.blocks_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
     for (const auto& name : machines) {
         claimed_[name] += job.spec.each;
         in_flight.shares.push_back({name, job.spec.each});
@@ -201,7 +201,7 @@
         blocks_in_flight_ -= in_flight.block_keys.size();
     }
     for (const auto& key : in_flight.block_keys) {
-        ctx_.busy.erase(key);
+        ctx_.blocks_in_flight.erase(key);
     }
     for (const auto& share : in_flight.shares) {
         Resources& claimed = claimed_[share.machine];
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -17,7 +17,7 @@
     std::map<int, Block> blocks;
     std::uint64_t last_attempt = 0;
     for (int index = 0; index < job.block_count(); ++index) {
-        if (ctx_.busy.count(job.block_key(index)) != 0) {
+        if (ctx_.blocks_in_flight.count(job.block_key(index)) != 0) {
             return {};
         }
         blocks[index] = job.block(index);
@@ -88,7 +88,7 @@
         std::size_t& bytes =
             bytes_by_block.try_emplace(index, bytes_of(job.block(index))).first->second;
         const Machine& machine = *place.offer->machine;
-        Placement placement{machine.name, machine.zone, block.attempt, ctx_.me.id};
+        Placement placement{machine.name, machine.zone, block.attempt, ctx_.self.id};
         bytes += bytes_of(place.task, placement);
         if (bytes > ctx_.value_max()) {
             return false;
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -142,7 +142,7 @@
         return std::make_tuple(wanted, stable_hash(job.spec.uid + "|" + m.zone),
                                stable_hash(job.spec.uid + "|" + m.name));
     };
-    auto mine = draw(ctx_.me);
+    auto mine = draw(ctx_.self);
     return static_cast<std::size_t>(std::count_if(epoch->members.begin(), epoch->members.end(),
                                                   [&](const Member& m) { return draw(m) > mine; }));
 }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -14,7 +14,7 @@
 }
 
 void Preemption::tick() {
-    if (ctx_.member && membership_.has_store_contact() && ctx_.now.steady >= next_look_) {
+    if (ctx_.is_member && membership_.has_store_contact() && ctx_.now.steady >= next_look_) {
         next_look_ = ctx_.now.steady +
                      constants::preempt_every_s * pending_queue_.rarely(constants::preempt_rarely);
         look();
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -22,7 +22,7 @@
       task_claims_(ctx, fleet, quota, batched_claims, constraints_, claim_writer_) {}
 
 void Scheduler::tick() {
-    if (!ctx_.member || !membership_.has_store_contact()) {
+    if (!ctx_.is_member || !membership_.has_store_contact()) {
         return;
     }
     double interval_s = constants::round_every_s * pending_queue_.rarely(constants::round_rarely);
@@ -216,7 +216,7 @@
         return true;  // it has room: nothing needs to be reserved for it
     }
     if (!gang_placement_.enter_places(job, places, blocks)) {
-        ctx_.to_part.insert(spec.uid);  // its blocks are of the version before
+        ctx_.jobs_to_split.insert(spec.uid);  // its blocks are of the version before
         return true;
     }
     claim_gang(job, places, blocks);
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -107,7 +107,8 @@
     const Block& now = job.block(block);
     int not_done = job.block_last(block) - job.block_first(block) + 1 - now.done_count();
     return not_done != static_cast<int>(now.placed.size()) &&
-           ctx_.busy.count(job.block_key(block)) == 0 && batched_claims_.may_claim(job, block);
+           ctx_.blocks_in_flight.count(job.block_key(block)) == 0 &&
+           batched_claims_.may_claim(job, block);
 }
 
 // The block's record with the number of its next attempt. It is written whole: task exits that are
@@ -144,7 +145,7 @@
             break;
         }
         const Machine& machine = *offer->machine;
-        bytes += bytes_of(task, {machine.name, machine.zone, next.attempt, ctx_.me.id});
+        bytes += bytes_of(task, {machine.name, machine.zone, next.attempt, ctx_.self.id});
         if (bytes > ctx_.value_max()) {
             break;  // its record takes no more
         }
@@ -182,7 +183,7 @@
                              const std::vector<TaskPlace>& places) {
     for (const auto& place : places) {
         const Machine& machine = *place.offer->machine;
-        next.placed[place.task] = {machine.name, machine.zone, next.attempt, ctx_.me.id};
+        next.placed[place.task] = {machine.name, machine.zone, next.attempt, ctx_.self.id};
     }
     auto machines = take_offers(places, fleet_.image_number(job.spec.image));
     if (target == ClaimTarget::batched_record) {
--- a/tests/leaders_test.cpp
+++ b/tests/leaders_test.cpp
@@ -11,7 +11,7 @@
 struct Leaders : HalfMachineJobTest {
     int leader() {
         for (int i = 0; i < 3; ++i) {
-            if (cluster.is_alive(i) && cluster.controller(i).context().member) {
+            if (cluster.is_alive(i) && cluster.controller(i).context().is_member) {
                 const auto& epoch = cluster.controller(i).context().jobs.epoch();
                 return epoch->members.front().name.back() - '0';
             }
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -111,7 +111,7 @@
 
 bool SimulatedCluster::all_members(std::size_t count) const {
     for (const auto& node : nodes_) {
-        if (node.controller && (!node.controller->context().member ||
+        if (node.controller && (!node.controller->context().is_member ||
                                 node.controller->context().jobs.epoch()->members.size() != count)) {
             return false;
         }
