--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -18,7 +18,7 @@
 #include "core/model/constants.hpp"
 #include "core/model/types.hpp"
 #include "core/overload/overload_detector.hpp"
-#include "core/store/jobs.hpp"
+#include "core/store/job_store.hpp"
 
 namespace cranemoor::core {
 
@@ -102,7 +102,7 @@
     const Tunables tunables;
     const std::string boot_id;
     Now now;                    // time of the input that is being handled
-    Jobs jobs;                  // the replica of the key-value store's records
+    JobStore jobs;              // the replica of the key-value store's records
     OverloadDetector overload;  // how scarce writes are for this process
     std::vector<Action> out;    // actions that Controller::take() will return
 
