--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -26,10 +26,10 @@
         }
         ++i;
         registry_.note_empty(machine);
-        if (ctx_.member && machine.owned_by_us) {
+        if (ctx_.is_member && machine.owned_by_us) {
             task_stops_.resend(machine);
         }
-        if (ctx_.member && machine.owned_by_us && !registry_.site(machine).mark) {
+        if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).mark) {
             task_stops_.checkpoint_before_interruption(machine);
             check_liveness(machine, silent);
         }
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -22,7 +22,7 @@
         return;
     }
     const Member* owner = membership_.owner(report.machine, report.zone);
-    if (owner == nullptr || owner->id != ctx_.me.id) {
+    if (owner == nullptr || owner->id != ctx_.self.id) {
         redirect(request, report, owner, relayed);
         return;
     }
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -12,8 +12,8 @@
 void MachineAdoption::epoch_changed(const std::optional<Epoch>& before) {
     const auto& epoch = ctx_.jobs.epoch();
     // Only from one epoch to the next is it certain that nobody else owned a machine between.
-    bool consecutive = before && epoch && epoch->number == before->number + 1 && ctx_.member &&
-                       before->has(ctx_.me.id);
+    bool consecutive = before && epoch && epoch->number == before->number + 1 && ctx_.is_member &&
+                       before->has(ctx_.self.id);
     int taken_over = 0;
     for (Machine* machine : registry_.all()) {
         bool owned = membership_.owned_by_us(machine->name, machine->zone);
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -152,7 +152,7 @@
 }
 
 void PendingTaskExits::flush() {
-    if (!ctx_.member) {
+    if (!ctx_.is_member) {
         return;
     }
     std::vector<BlockRef> blocks;
@@ -252,7 +252,7 @@
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(reply, [this, taken, blocks] {
         for (const auto& key : taken) {
-            ctx_.busy.erase(key);
+            ctx_.blocks_in_flight.erase(key);
         }
         for (const BlockRef& ref : blocks) {
             if (auto it = pending_.find(ref); it != pending_.end()) {
@@ -296,7 +296,7 @@
         }
         std::size_t more = bytes_of(entry);
         if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
-            ctx_.busy.count(key) != 0) {
+            ctx_.blocks_in_flight.count(key) != 0) {
             pending.needs_review = true;
             continue;
         }
@@ -308,7 +308,7 @@
     if (entries.empty()) {
         return;
     }
-    ctx_.busy.insert(taken.begin(), taken.end());
+    ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
     batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& reply) {
@@ -323,7 +323,7 @@
     const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(block);
-    if (ctx_.busy.count(key) != 0) {
+    if (ctx_.blocks_in_flight.count(key) != 0) {
         return false;
     }
     const Block& old = job.block(block);
@@ -334,13 +334,13 @@
     // Else complete_finished_jobs does it once the blocks are written.
     completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
     for (const auto& [other, record] : job.blocks) {
-        completes = completes && ctx_.busy.count(job.block_key(other)) == 0;
+        completes = completes && ctx_.blocks_in_flight.count(job.block_key(other)) == 0;
     }
     if (!completes && bytes_of(next) > ctx_.value_max()) {
         // Written by the version before, under a larger limit.
         bool fits_old_limit = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
         if (!fits_old_limit) {
-            ctx_.to_part.insert(uid);
+            ctx_.jobs_to_split.insert(uid);
             return false;
         }
     }
@@ -357,7 +357,7 @@
         return false;
     }
     append(txn, std::move(more));
-    ctx_.busy.insert(changed.begin(), changed.end());
+    ctx_.blocks_in_flight.insert(changed.begin(), changed.end());
     taken.insert(taken.end(), changed.begin(), changed.end());
     return true;
 }
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -6,7 +6,7 @@
 
 void ReleaseMarks::mark(Machine& machine, const std::string& why, bool fence) {
     const Cordon* existing = ctx_.jobs.mark(machine.name);
-    if (machine.release_mark_pending || !ctx_.member || !membership_.has_store_contact() ||
+    if (machine.release_mark_pending || !ctx_.is_member || !membership_.has_store_contact() ||
         (existing != nullptr && (existing->fence || !fence))) {
         return;
     }
@@ -35,7 +35,7 @@
                 batch.machines.insert(*next);
                 ++next;
             }
-            auto key = keys::marks(ctx_.me.id, ++ctx_.marks_made);
+            auto key = keys::marks(ctx_.self.id, ++ctx_.mark_records_written);
             batch.txn.conditions.push_back({key, 0});
             batch.txn.writes.push_back({key, encode(marks)});
             if (batch.txn.writes.size() >= ctx_.ops_max()) {
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -1,9 +1,10 @@
 // Batched claims: while the admission table marks writes as scarce (`AdmissionTable::shared`), the
 // claims and completions of many job-array tasks are written together into one shared record per
-// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block. Claims in
-// different records cannot see each other, so each block of such a job is assigned one owning
-// controller (weighted rendezvous hashing, `admission::shard_owner`), and only that controller
-// claims from it. Writes whose outcome is unknown are resolved before the record is used again.
+// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block.
+// Claims in different records cannot see each other, so each block of such a job is assigned one
+// owning controller (weighted rendezvous hashing, `admission::shard_owner`), and only that
+// controller claims from it. Writes whose outcome is unknown are resolved before the record is used
+// again.
 #pragma once
 
 #include <functional>
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -8,14 +8,14 @@
 namespace cranemoor::core {
 
 void OversizedBlockSplit::tick() {
-    if (!ctx_.member || ctx_.to_part.empty()) {
+    if (!ctx_.is_member || ctx_.jobs_to_split.empty()) {
         return;
     }
     if (!ctx_.upgraded()) {
-        ctx_.to_part.clear();  // whoever needs it asks again
+        ctx_.jobs_to_split.clear();  // whoever needs it asks again
         return;
     }
-    for (const auto& uid : std::exchange(ctx_.to_part, {})) {
+    for (const auto& uid : std::exchange(ctx_.jobs_to_split, {})) {
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && job->page_size == 0 && splits_in_flight_.count(uid) == 0) {
             split(*job);
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -23,7 +23,7 @@
         });
         return;
     }
-    if (!ctx_.member || tries_left == 0) {
+    if (!ctx_.is_member || tries_left == 0) {
         open_requests_.reject_unavailable(request, uid);
         return;
     }
--- a/src/core/requests/fresh_reads.cpp
+++ b/src/core/requests/fresh_reads.cpp
@@ -5,7 +5,8 @@
 void FreshReads::when_fresh(RequestId request, const std::string& uid, double timeout_s,
                             OpenRequests::Continuation on_fresh) {
     const admission::FlowName no_flow;
-    if (!ctx_.whole || !membership_.has_store_contact() || !submission_queue_.make_room(no_flow)) {
+    if (!ctx_.replica_complete || !membership_.has_store_contact() ||
+        !submission_queue_.make_room(no_flow)) {
         open_requests_.reject_unavailable(request, uid);
         return;
     }
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -27,7 +27,7 @@
               }) {}
 
 void SubmissionHandler::submit(RequestId request, const JobSpec& spec) {
-    if (!ctx_.member || agents_.types().empty()) {
+    if (!ctx_.is_member || agents_.types().empty()) {
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
@@ -140,7 +140,7 @@
 // Queues an open request's job to be written.
 void SubmissionHandler::accept(RequestId request, const JobSpec& spec, int tries_left,
                                bool cancelled) {
-    if (!ctx_.member || tries_left == 0) {
+    if (!ctx_.is_member || tries_left == 0) {
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -30,7 +30,7 @@
             return;
         }
         if (!builder.listed.empty()) {
-            builder.txn.writes.push_back({keys::accepted(ctx_.me.id, ++shared_records_),
+            builder.txn.writes.push_back({keys::accepted(ctx_.self.id, ++shared_records_),
                                           encode_listing(std::move(builder.listed))});
         }
         ++writes_in_flight_;
