--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -114,8 +114,8 @@
     // Guards against a second fleet: a process that has just started knows no machines, and would
     // rent for every job as if there were none.
     if (list_read_ && t >= next_plan_) {
-        next_plan_ =
-            t + constants::provision_every_s * pending_queue_.rarely(constants::plan_rarely);
+        next_plan_ = t + constants::provision_every_s *
+                             pending_queue_.round_interval_factor(constants::plan_rarely);
         rent();
         return_idle();
     }
@@ -482,8 +482,8 @@
     for (const auto& b : plan.free) {
         plan.load[b.zone]++;
     }
-    std::vector<const PendingQueue::Waiting*> jobs;
-    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
+    std::vector<const PendingJob*> jobs;
+    pending_queue_.for_each_in_order(scheduler_.is_write_limited(), [&](const PendingJob& waiting) {
         jobs.push_back(&waiting);
         return true;
     });
@@ -506,14 +506,14 @@
 }
 
 // Finds room for each of the job's tasks that is still to be placed, or wants a machine for it.
-void Autoscaler::plan_job(Plan& plan, const PendingQueue::Waiting& waiting) {
+void Autoscaler::plan_job(Plan& plan, const PendingJob& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     const MachineType* type = cheapest(s);
     // Nothing is rented for a job that is likely to fail again, unless it finds no room for
     // long: it must have its tries.
     bool in_doubt =
-        job.doubtful() && ctx_.now.steady - waiting.open_since < constants::job_backoff_max_s;
+        job.doubtful() && ctx_.now.steady - waiting.pending_since < constants::job_backoff_max_s;
     if (type == nullptr || in_doubt) {
         return;
     }
@@ -546,7 +546,7 @@
     }
 }
 
-Autoscaler::Need Autoscaler::need_of(Plan& plan, const PendingQueue::Waiting& waiting,
+Autoscaler::Need Autoscaler::need_of(Plan& plan, const PendingJob& waiting,
                                      const MachineType& type) const {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
@@ -568,7 +568,7 @@
     // A job that may use cheap machines takes an empty ordinary one only if no cheap one can
     // be had.
     need.cheap = s.spot && (need.idle_work || pick_zone(type.name, true, need.only, plan.load));
-    need.demands = waiting.demands;
+    need.demands = waiting.equivalence_class;
     if (s.together && !need.only && s.tasks > 1) {
         need.only = roomiest_zone(plan, need);
     }
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -81,8 +81,8 @@
     bool not_said(const std::string& key, const std::string& machine) const;
     void retire_marks();
     void rent();
-    void plan_job(Plan& plan, const PendingQueue::Waiting& waiting);
-    Need need_of(Plan& plan, const PendingQueue::Waiting& waiting, const MachineType& type) const;
+    void plan_job(Plan& plan, const PendingJob& waiting);
+    Need need_of(Plan& plan, const PendingJob& waiting, const MachineType& type) const;
     bool takes(const Bin& bin, const Need& need) const;
     std::size_t next(const Plan& plan, const Need& need, const std::string& zone,
                      std::size_t from) const;
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -20,20 +20,19 @@
     reservations_[machine] = {spec.uid, ctx_.now.steady + seconds, spec.priority};
 }
 
-bool GangReservations::may_reserve(SchedulingRound& round,
-                                   const PendingQueue::Waiting& pending) const {
-    if (pending.job->doubtful() || pending.turn != 0) {
+bool GangReservations::may_reserve(SchedulingRound& round, const PendingJob& pending) const {
+    if (pending.job->doubtful() || pending.shard_rank != 0) {
         return false;
     }
     // Gangs below their minimum share need whole machines, one after the other would be too few.
-    bool may_be_another = pending.ahead && (is_reserving(pending.uid) ||
-                                            reserving_since_.size() < constants::floor_holds);
+    bool may_be_another =
+        pending.below_min_share &&
+        (is_reserving(pending.uid) || reserving_since_.size() < constants::floor_holds);
     bool first_of_team = round.teams_reserving.insert(pending.team).second;
     return first_of_team || may_be_another;
 }
 
-void GangReservations::reserve_for_gang(SchedulingRound& round,
-                                        const PendingQueue::Waiting& pending) {
+void GangReservations::reserve_for_gang(SchedulingRound& round, const PendingJob& pending) {
     if (!may_reserve(round, pending)) {
         return;
     }
@@ -42,7 +41,8 @@
     double elapsed_s = ctx_.now.steady - since;
     // Of a flow below its minimum share work that runs out must be waited for: while it is short
     // of room, what others start there takes minutes.
-    double duration_s = pending.ahead ? constants::floor_hold_s : ctx_.tunables.gang_hold_s;
+    double duration_s =
+        pending.below_min_share ? constants::floor_hold_s : ctx_.tunables.gang_hold_s;
     if (elapsed_s > duration_s) {
         if (elapsed_s > duration_s + ctx_.tunables.gang_hold_s) {
             reserving_since_.erase(spec.uid);
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -43,7 +43,7 @@
     /// first of each team in the round, and further ones of flows below their minimum share. After
     /// its time is over it must pause, so that others get a chance and a gang that can't be helped
     /// in this way keeps nothing idle.
-    void reserve_for_gang(SchedulingRound& round, const PendingQueue::Waiting& pending);
+    void reserve_for_gang(SchedulingRound& round, const PendingJob& pending);
     /// Drops what is reserved for jobs that have nothing left to place, or are over, and what has
     /// expired.
     void on_jobs_placed(const std::set<std::string>& uids);
@@ -57,7 +57,7 @@
         const Machine* machine = nullptr;
     };
 
-    bool may_reserve(SchedulingRound& round, const PendingQueue::Waiting& pending) const;
+    bool may_reserve(SchedulingRound& round, const PendingJob& pending) const;
     int count_reserved(const std::string& uid) const;
     bool is_reservable(const Machine& machine, const Job& job) const;
     std::vector<Reservable> reservable_machines(const Job& job) const;
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -47,11 +47,12 @@
 }
 
 bool MachineScoring::fits_machine_in_use(SchedulingRound& round, const MachineOffer& offer,
-                                         const PendingQueue::Waiting& pending) const {
+                                         const PendingJob& pending) const {
     if (!offer.is_empty || offer.machine->spot) {
         return false;
     }
-    FleetQuestion question{FleetQuestion::Kind::fits_machine_in_use, pending.demands, 0, 0};
+    FleetQuestion question{FleetQuestion::Kind::fits_machine_in_use, pending.equivalence_class, 0,
+                           0};
     auto [answer, is_new] = round.answers.try_emplace(question, false);
     if (is_new) {
         answer->second = any_machine_in_use_fits(*pending.job);
@@ -68,13 +69,13 @@
 }
 
 bool MachineScoring::fits_spot_machine(SchedulingRound& round, const MachineOffer& offer,
-                                       const PendingQueue::Waiting& pending) const {
+                                       const PendingJob& pending) const {
     const JobSpec& spec = pending.job->spec;
     if (offer.machine->spot || !spec.spot || spec.checkpoint_s <= 0 ||
         spec.priority > Priority::normal || !offer.is_empty) {
         return false;
     }
-    FleetQuestion question{FleetQuestion::Kind::fits_spot_machine, pending.demands, 0, 0};
+    FleetQuestion question{FleetQuestion::Kind::fits_spot_machine, pending.equivalence_class, 0, 0};
     auto [answer, is_new] = round.answers.try_emplace(question, false);
     if (is_new) {
         answer->second = any_spot_machine_fits(*pending.job);
@@ -96,13 +97,13 @@
     });
 }
 
-bool MachineScoring::may_find_image(SchedulingRound& round,
-                                    const PendingQueue::Waiting& pending) const {
+bool MachineScoring::may_find_image(SchedulingRound& round, const PendingJob& pending) const {
     const Job& job = *pending.job;
     bool is_unstarted_gang = job.spec.kind == JobKind::gang && job.done() == 0;
     int needed = is_unstarted_gang ? job.spec.tasks : 1;
     int image = fleet_.image_number(job.spec.image);
-    FleetQuestion question{FleetQuestion::Kind::finds_image, pending.demands, image, needed};
+    FleetQuestion question{FleetQuestion::Kind::finds_image, pending.equivalence_class, image,
+                           needed};
     auto [answer, is_new] = round.answers.try_emplace(question, false);
     if (is_new) {
         answer->second = enough_machines_with_image(job, image, needed);
--- a/src/core/scheduling/machine_scoring.hpp
+++ b/src/core/scheduling/machine_scoring.hpp
@@ -11,7 +11,7 @@
 namespace cranemoor::core {
 
 /// Scores offers for a job, and answers what the whole fleet has for it. The answers are kept in
-/// the round, since they are the same for all jobs of equal demands.
+/// the round, since they are the same for all jobs of an equivalence class.
 class MachineScoring {
   public:
     /// All arguments must outlive this object.
@@ -27,15 +27,15 @@
     /// Whether the offer is an empty ordinary machine and a machine in use has room for the job's
     /// tasks, which would otherwise take a machine that a gang may need whole.
     bool fits_machine_in_use(SchedulingRound& round, const MachineOffer& offer,
-                             const PendingQueue::Waiting& pending) const;
+                             const PendingJob& pending) const;
     /// Whether the offer is an empty ordinary machine, the job may use spot machines, and one with
     /// room for it is up or booting.
     bool fits_spot_machine(SchedulingRound& round, const MachineOffer& offer,
-                           const PendingQueue::Waiting& pending) const;
+                           const PendingJob& pending) const;
     /// Whether waiting may find the job machines with its image, for a gang as many as it has
     /// tasks: such that have room, or where work is expected to end before W is over. Waiting for
     /// others would cost a start its time. (Section 3.5.1 of the paper: long tasks and hotspots.)
-    bool may_find_image(SchedulingRound& round, const PendingQueue::Waiting& pending) const;
+    bool may_find_image(SchedulingRound& round, const PendingJob& pending) const;
     /// Whether the machine is fetching another image already: two fetches share its rate, and both
     /// images would be late.
     bool is_fetch_contended(const MachineOffer& offer, int image) const;
--- a/src/core/scheduling/pending_queue.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -1,13 +1,17 @@
-// PendingQueue: the jobs that have tasks to place, in the order in which they are looked at. Kept
-// up to date by the change stream, so that a look costs what it visits and not what waits.
+// Pending queue: the jobs that have tasks to place, in the order in which they are scheduled:
+// hierarchical fair sharing over teams, then priorities, with a minimum share for each flow (one
+// team's jobs of one class). Kept up to date by the change stream, so that a visit costs what it
+// visits and not what is pending.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
+#include <tuple>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "admission/min_share.hpp"
@@ -16,95 +20,122 @@
 
 namespace cranemoor::core {
 
+/// A job with tasks to place, with what every visit to it needs.
+struct PendingJob {
+    const Job* job = nullptr;
+    std::string uid;
+    std::string team;
+    std::string job_class;
+    Priority priority = Priority::normal;
+    /// Its flow is below its minimum share.
+    bool below_min_share = false;
+    std::string image;
+    /// When it became ready to run, in seconds since the Unix epoch.
+    double ready_wall = 0;
+    /// Since when it has tasks to place, as far as this process has seen; steady s.
+    double pending_since = 0;
+    /// Its tasks to place, as last seen.
+    int open_tasks = 0;
+    /// When one of its tasks was last placed, or it became pending; steady s.
+    double last_progress_at = 0;
+    /// This controller's rank in the order in which controllers place the job; 0 is its home.
+    std::size_t shard_rank = 0;
+    /// Equal for jobs that fit the same machines.
+    int equivalence_class = 0;
+};
+
+/// The pending jobs of the cluster. All controllers have the same queue, but visit the jobs of
+/// which they are the home before others that came at the same time.
 class PendingQueue {
   public:
-    // An open job, with what every look at it needs.
-    struct Waiting {
-        const Job* job = nullptr;
-        std::string uid;
-        std::string team;
-        std::string job_class;
-        Priority priority = Priority::normal;
-        bool ahead = false;  // its flow is below its floor
-        std::string image;
-        double came_wall = 0;
-        double open_since = 0;   // steady s, as far as this process has seen
-        int open = 0;            // its tasks to place, as last seen
-        double stuck_since = 0;  // steady s, when one of them was last placed, or it came
-        std::size_t turn = 0;    // this member's place in the order in which members look at it
-        int demands = 0;         // equal for jobs that fit the same machines
-    };
-
+    /// `ctx` and `fleet` must outlive the queue.
     PendingQueue(Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
 
+    /// The membership epoch changed, and with it the shard rank of each job.
     void epoch_changed();
-    // touched: jobs that changed
+    /// The records changed; `touched` holds the uids of the jobs that changed.
     void records_changed(const std::set<std::string>& touched);
-    // Looks which flows are below their floor.
+    /// Checks from time to time which flows are below their minimum share.
     void tick();
 
-    // Machines that a flow lacks to its floor, 0 if it doesn't wait for long.
-    double lack(const std::string& team, const std::string& job_class) const {
-        auto it = lacks_.find({team, job_class});
-        return it == lacks_.end() ? 0 : it->second;
-    }
+    /// Machines that a flow lacks to its minimum share; 0 if it is not below it, or has not waited
+    /// long enough.
+    double min_share_deficit(const std::string& team, const std::string& job_class) const;
 
-    // How many times less often than usual all that waits is to be looked at, at the most `most`
-    // times: the more waits the longer a look takes, and the less a moment more matters to it.
-    double rarely(double most) const;
+    /// The factor by which the usual interval between visits of all jobs is stretched, from 1 to
+    /// `max_factor`: the more jobs are pending the longer a visit takes, and the less a moment more
+    /// matters to them.
+    double round_interval_factor(double max_factor) const;
 
-    // This member's place in the order in which members look at a job.
-    std::size_t turn(const Job& job) const;
-    // Visits the jobs in the order in which they are walked, until the visitor returns false. In a
-    // rush claims wait for the write limit, and the order decides about many seconds: within their
-    // guarantees, what must stay up then goes before what must be complete. Before all go the flows
-    // that are below their floor.
+    /// Visits the jobs in scheduling order, until the visitor returns false. Flows below their
+    /// minimum share go first. If `is_write_limited`, claims wait for the write limit and the order
+    /// decides about many seconds: of the teams below their guarantee, production jobs then go
+    /// before others.
     template <typename Visit>
-    void each(bool rush, Visit visit) const {
-        auto list = lanes(rush);
-        for (bool ahead : {true, false}) {
-            if (ahead && lacks_.empty()) {
+    void for_each_in_order(bool is_write_limited, Visit visit) const {
+        auto queues = queues_in_order(is_write_limited);
+        for (bool below_min_share : {true, false}) {
+            if (below_min_share && min_share_deficits_.empty()) {
                 continue;
             }
-            for (const Lane* lane : list) {
-                for (const Waiting* w : *lane) {
-                    if (w->ahead == ahead && !paused(*w) && !visit(*w)) {
+            for (const Queue* queue : queues) {
+                for (const PendingJob* pending : *queue) {
+                    if (pending->below_min_share == below_min_share && !is_backing_off(*pending) &&
+                        !visit(*pending)) {
                         return;
                     }
                 }
             }
         }
     }
-    // The part of a machine that an amount takes, by the resource of which it takes most.
-    double dominant(const Resources& amount) const;
 
   private:
-    struct Earlier {
-        bool operator()(const Waiting* a, const Waiting* b) const;
+    // The order within a queue.
+    struct Before {
+        bool operator()(const PendingJob* a, const PendingJob* b) const;
+    };
+    // The jobs of one team and priority.
+    using Queue = std::set<const PendingJob*, Before>;
+    struct QueueKey {
+        std::string team;
+        Priority priority = Priority::normal;
+        friend bool operator<(const QueueKey& a, const QueueKey& b) {
+            return std::tie(a.team, a.priority) < std::tie(b.team, b.priority);
+        }
+    };
+    // How a team stands to its guarantee.
+    struct TeamStanding {
+        bool above_guarantee = true;
+        double need = 0;  // the least is served first
     };
-    using Lane = std::set<const Waiting*, Earlier>;
-    // Of a team and a priority.
-    using Key = std::pair<std::string, Priority>;
+    using Deficits = std::map<admission::FlowName, double>;
 
-    std::vector<const Lane*> lanes(bool rush) const;
+    std::vector<const Queue*> queues_in_order(bool is_write_limited) const;
+    std::map<std::string, TeamStanding> team_standings() const;
     std::vector<admission::WaitingFlow> waiting_flows() const;
-    double weight(const std::string& team) const;
-    bool paused(const Waiting& w) const;
-    // Whether this is of the copy of the records as it was last read whole.
-    bool current() const { return loads_ == ctx_.jobs.loads(); }
-    void read_again();
+    std::map<admission::FlowName, double> machines_held_by_flow() const;
+    Deficits find_min_share_deficits() const;
+    void log_new_deficits(const Deficits& deficits) const;
+    double team_weight(const std::string& team) const;
+    double dominant_share(const Resources& amount) const;
+    std::size_t shard_rank(const Job& job) const;
+    bool is_backing_off(const PendingJob& pending) const;
+    // Whether this is of the replica of the records as it was last read whole.
+    bool is_current() const { return replica_loads_ == ctx_.jobs.loads(); }
+    void rebuild();
+    void update(const std::string& uid);
     void remove(const std::string& uid);
-    void add(const Job& job, double since);
-    int demands(const JobSpec& spec);
+    void add(const Job& job, double pending_since);
+    int equivalence_class(const JobSpec& spec);
 
     Context& ctx_;
     const Fleet& fleet_;
-    std::unordered_map<std::string, std::unique_ptr<Waiting>> waiting_;  // by uid
-    std::map<Key, Lane> lanes_;
-    std::map<admission::FlowName, double> lacks_;
-    double next_look_ = 0;
-    std::uint64_t loads_ = 0;
-    std::unordered_map<std::string, int> demands_;  // numbers, by what is demanded
+    std::unordered_map<std::string, std::unique_ptr<PendingJob>> pending_jobs_;  // by uid
+    std::map<QueueKey, Queue> queues_;
+    Deficits min_share_deficits_;
+    double next_min_share_check_at_ = 0;                        // steady s
+    std::uint64_t replica_loads_ = 0;                           // Jobs::loads() of pending_jobs_
+    std::unordered_map<std::string, int> equivalence_classes_;  // by what is demanded
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -15,8 +15,9 @@
 
 void Preemption::tick() {
     if (ctx_.member && membership_.has_store_contact() && ctx_.now.steady >= next_look_) {
-        next_look_ = ctx_.now.steady +
-                     constants::preempt_every_s * pending_queue_.rarely(constants::preempt_rarely);
+        next_look_ =
+            ctx_.now.steady + constants::preempt_every_s *
+                                  pending_queue_.round_interval_factor(constants::preempt_rarely);
         look();
     }
 }
@@ -33,7 +34,7 @@
 }
 
 bool Preemption::may_preempt(const Job& job, const Job& victim, double waited) const {
-    if (pending_queue_.lack(victim.spec.team, victim.spec.job_class) > 0) {
+    if (pending_queue_.min_share_deficit(victim.spec.team, victim.spec.job_class) > 0) {
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
@@ -105,7 +106,7 @@
 
 void Preemption::look() {
     int looked = 0;
-    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
+    pending_queue_.for_each_in_order(scheduler_.is_write_limited(), [&](const PendingJob& waiting) {
         if (may_look(waiting)) {
             ++looked;
             make_room(waiting);
@@ -114,11 +115,11 @@
     });
 }
 
-bool Preemption::may_look(const PendingQueue::Waiting& waiting) const {
+bool Preemption::may_look(const PendingJob& waiting) const {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
-    double stagger = constants::preempt_pause_s * static_cast<double>(waiting.turn);
-    double waited = ctx_.now.steady - waiting.open_since;
+    double stagger = constants::preempt_pause_s * static_cast<double>(waiting.shard_rank);
+    double waited = ctx_.now.steady - waiting.pending_since;
     if (waited < stagger || waited < constants::preempt_after_s) {
         return false;  // its first member makes room, the others only if it has none to make
     }
@@ -144,10 +145,10 @@
 }
 
 // Stops what loses least, where it helps the job most.
-void Preemption::make_room(const PendingQueue::Waiting& waiting) {
+void Preemption::make_room(const PendingJob& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
-    double waited = ctx_.now.steady - waiting.open_since;
+    double waited = ctx_.now.steady - waiting.pending_since;
     preempted_at_[s.uid] = ctx_.now.steady;
     int image = fleet_.image_number(s.image);
     int block = 0;
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -40,9 +40,9 @@
     };
 
     void look();
-    bool may_look(const PendingQueue::Waiting& waiting) const;
+    bool may_look(const PendingJob& waiting) const;
     bool may_serve(const Job& job, int block, const Machine& m) const;
-    void make_room(const PendingQueue::Waiting& waiting);
+    void make_room(const PendingJob& waiting);
     void stop(Machine& m, const Job& job, const TaskId& id);
     bool may_preempt(const Job& job, const Job& victim, double waited) const;
     std::optional<Victims> victims_on(Machine& m, const Job& job, double waited) const;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -25,7 +25,8 @@
     if (!ctx_.member || !membership_.has_store_contact()) {
         return;
     }
-    double interval_s = constants::round_every_s * pending_queue_.rarely(constants::round_rarely);
+    double interval_s =
+        constants::round_every_s * pending_queue_.round_interval_factor(constants::round_rarely);
     if (ctx_.now.steady - last_round_at_ >= interval_s) {
         run_round();
     }
@@ -39,7 +40,7 @@
     if (ctx_.jobs.open().empty()) {
         return;
     }
-    pending_queue_.each(is_write_limited(), [&](const PendingQueue::Waiting& pending) {
+    pending_queue_.for_each_in_order(is_write_limited(), [&](const PendingJob& pending) {
         if (claim_writer_.is_full()) {
             return false;
         }
@@ -83,18 +84,18 @@
 // Whether it is this controller's turn to claim from the job. Controllers that claim from the same
 // job at once would fail each other: each starts a while after the one before it, or claims only
 // from the blocks that it owns.
-bool Scheduler::may_place_now(const PendingQueue::Waiting& pending) const {
+bool Scheduler::may_place_now(const PendingJob& pending) const {
     const Job& job = *pending.job;
     bool is_batched = batched_claims_.is_batched(job);
     double stagger_s =
-        is_batched ? 0 : constants::home_stagger_s * static_cast<double>(pending.turn);
+        is_batched ? 0 : constants::home_stagger_s * static_cast<double>(pending.shard_rank);
     bool is_of_other_owner =
         is_batched && job.block_count() == 1 && !batched_claims_.may_claim(job, 0);
-    return !is_of_other_owner && ctx_.now.steady - pending.open_since >= stagger_s;
+    return !is_of_other_owner && ctx_.now.steady - pending.pending_since >= stagger_s;
 }
 
 // Filter, score, claim.
-void Scheduler::place_job(SchedulingRound& round, const PendingQueue::Waiting& pending) {
+void Scheduler::place_job(SchedulingRound& round, const PendingJob& pending) {
     const Job& job = *pending.job;
     const JobSpec& spec = job.spec;
     bool is_gang = spec.kind == JobKind::gang && job.done() == 0;
@@ -106,7 +107,7 @@
         }
         return;
     }
-    if (round.unplaceable_demands.count(pending.demands) != 0) {
+    if (round.unplaceable_classes.count(pending.equivalence_class) != 0) {
         if (is_gang) {
             reservations_.reserve_for_gang(round, pending);
         }
@@ -114,7 +115,7 @@
     }
     auto [candidates, fits_any] = filter_and_score(round, pending);
     if (!fits_any) {
-        round.unplaceable_demands.insert(pending.demands);
+        round.unplaceable_classes.insert(pending.equivalence_class);
     }
     sort_candidates(candidates);
     if (!candidates.empty() && task_claims_.claim(job, candidates) > 0) {
@@ -124,8 +125,7 @@
     }
 }
 
-Scheduler::Filtered Scheduler::filter_and_score(SchedulingRound& round,
-                                                const PendingQueue::Waiting& pending) {
+Scheduler::Filtered Scheduler::filter_and_score(SchedulingRound& round, const PendingJob& pending) {
     const Job& job = *pending.job;
     bool is_gang = job.spec.kind == JobKind::gang && job.done() == 0;
     Filtered filtered;
@@ -148,8 +148,7 @@
 }
 
 Scheduler::Drawbacks Scheduler::find_drawbacks(SchedulingRound& round, const MachineOffer& offer,
-                                               const PendingQueue::Waiting& pending,
-                                               bool is_gang) const {
+                                               const PendingJob& pending, bool is_gang) const {
     const JobSpec& spec = pending.job->spec;
     int image = fleet_.image_number(spec.image);
     const auto& claimed = offer.images_claimed;
@@ -165,7 +164,7 @@
 // Whether the job lets the machine pass and waits for a better one (Algorithm 3 of the paper, with
 // other reasons to wait beside locality).
 bool Scheduler::lets_pass(SchedulingRound& round, const MachineOffer& offer,
-                          const PendingQueue::Waiting& pending, const Drawbacks& drawbacks) const {
+                          const PendingJob& pending, const Drawbacks& drawbacks) const {
     const JobSpec& spec = pending.job->spec;
     bool has_reason = drawbacks.spot_machine_fits || drawbacks.fetch_contended ||
                       drawbacks.machine_in_use_fits ||
@@ -188,10 +187,10 @@
 
 // Claims the gang whole or not at all. Returns whether its room is there, or is not what it lacks;
 // otherwise machines should be reserved for it.
-bool Scheduler::place_gang(SchedulingRound& round, const PendingQueue::Waiting& pending) {
+bool Scheduler::place_gang(SchedulingRound& round, const PendingJob& pending) {
     const Job& job = *pending.job;
     const JobSpec& spec = job.spec;
-    GangSize size{spec.tasks, pending.demands};
+    GangSize size{spec.tasks, pending.equivalence_class};
     bool is_reserving = reservations_.is_reserving(spec.uid);
     if (!is_reserving && round.unplaceable_gangs.count(size) != 0) {
         return false;
@@ -224,7 +223,7 @@
 }
 
 // Whether the gang waits for machines with its image, see lets_pass.
-bool Scheduler::gang_lets_pass(SchedulingRound& round, const PendingQueue::Waiting& pending,
+bool Scheduler::gang_lets_pass(SchedulingRound& round, const PendingJob& pending,
                                const GangPlacement::Places& places) const {
     const JobSpec& spec = pending.job->spec;
     double longest_wait_s = delay_scheduling_.longest_wait_s(*places.tasks.front().offer->machine,
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -63,15 +63,15 @@
 
     void run_round();
     void collect_offers(SchedulingRound& round, bool owned_by_us) const;
-    bool may_place_now(const PendingQueue::Waiting& pending) const;
-    void place_job(SchedulingRound& round, const PendingQueue::Waiting& pending);
-    Filtered filter_and_score(SchedulingRound& round, const PendingQueue::Waiting& pending);
+    bool may_place_now(const PendingJob& pending) const;
+    void place_job(SchedulingRound& round, const PendingJob& pending);
+    Filtered filter_and_score(SchedulingRound& round, const PendingJob& pending);
     Drawbacks find_drawbacks(SchedulingRound& round, const MachineOffer& offer,
-                             const PendingQueue::Waiting& pending, bool is_gang) const;
-    bool lets_pass(SchedulingRound& round, const MachineOffer& offer,
-                   const PendingQueue::Waiting& pending, const Drawbacks& drawbacks) const;
-    bool place_gang(SchedulingRound& round, const PendingQueue::Waiting& pending);
-    bool gang_lets_pass(SchedulingRound& round, const PendingQueue::Waiting& pending,
+                             const PendingJob& pending, bool is_gang) const;
+    bool lets_pass(SchedulingRound& round, const MachineOffer& offer, const PendingJob& pending,
+                   const Drawbacks& drawbacks) const;
+    bool place_gang(SchedulingRound& round, const PendingJob& pending);
+    bool gang_lets_pass(SchedulingRound& round, const PendingJob& pending,
                         const GangPlacement::Places& places) const;
     void claim_gang(const Job& job, const GangPlacement::Places& places,
                     const std::map<int, Block>& blocks);
--- a/src/core/scheduling/scheduling_round.hpp
+++ b/src/core/scheduling/scheduling_round.hpp
@@ -47,27 +47,27 @@
 /// Stable, so that equal ones keep the order of the offers.
 void sort_candidates(std::vector<Candidate>& candidates);
 
-/// A question about all machines whose answer is the same for every job of equal demands.
+/// A question about all machines whose answer is the same for every job of an equivalence class.
 struct FleetQuestion {
     enum class Kind { fits_machine_in_use, fits_spot_machine, finds_image };
     Kind kind = Kind::fits_machine_in_use;
-    int demands = 0;
+    int equivalence_class = 0;
     int image = 0;
     int tasks = 0;
     /// Orders questions in the map of answers.
     friend bool operator<(const FleetQuestion& a, const FleetQuestion& b) {
-        return std::tie(a.kind, a.demands, a.image, a.tasks) <
-               std::tie(b.kind, b.demands, b.image, b.tasks);
+        return std::tie(a.kind, a.equivalence_class, a.image, a.tasks) <
+               std::tie(b.kind, b.equivalence_class, b.image, b.tasks);
     }
 };
 
 /// The size of a gang, as far as it decides where it fits.
 struct GangSize {
     int tasks = 0;
-    int demands = 0;
+    int equivalence_class = 0;
     /// Orders sizes in a set.
     friend bool operator<(const GangSize& a, const GangSize& b) {
-        return std::tie(a.tasks, a.demands) < std::tie(b.tasks, b.demands);
+        return std::tie(a.tasks, a.equivalence_class) < std::tie(b.tasks, b.equivalence_class);
     }
 };
 
@@ -77,7 +77,7 @@
     /// Machines of other controllers are among the offers; only gangs ask for them.
     bool includes_other_owners = false;
     /// Demands that fit no offer of a machine of ours.
-    std::set<int> unplaceable_demands;
+    std::set<int> unplaceable_classes;
     std::set<GangSize> unplaceable_gangs;
     /// Answers of this round.
     std::map<FleetQuestion, bool> answers;
