--- /dev/null
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -0,0 +1,105 @@
+#include "core/autoscaling/bin_packing.hpp"
+
+#include <algorithm>
+#include <tuple>
+
+#include "core/scheduling/scheduler.hpp"
+
+namespace cranemoor::core {
+
+namespace {
+
+// Whether waiting work should count on the machine.
+bool counts_as_bin(const Context& ctx, const Fleet& fleet, const Machine& machine) {
+    const MachineType* type = fleet.type(machine.type);
+    if (type == nullptr || machine.interruption_deadline || fleet.site(machine).mark ||
+        fleet.zone_partitioned(machine.zone) || machine.listed_state == ListedState::failed) {
+        return false;
+    }
+    // One that boots for too long may still come, but nobody should wait for it.
+    double age_s = ctx.now.steady - machine.launched_at;
+    return machine.up() || age_s <= type->boot_s * constants::boot_late_factor;
+}
+
+}  // namespace
+
+std::vector<Bin> collect_bins(const Context& ctx, const Fleet& fleet,
+                              const std::vector<PendingLaunch>& pending) {
+    std::vector<Bin> bins;
+    for (const auto& [name, machine] : fleet.machines()) {
+        if (counts_as_bin(ctx, fleet, machine)) {
+            bins.push_back({{machine.type, machine.zone, machine.spot},
+                            fleet.site(machine).tasks.empty(),
+                            fleet.room(machine)});
+        }
+    }
+    for (const auto& launch : pending) {
+        if (const MachineType* type = fleet.type(launch.kind.type)) {
+            for (int i = 0; i < launch.count; ++i) {
+                bins.push_back({launch.kind, true, type->size});
+            }
+        }
+    }
+    std::stable_sort(bins.begin(), bins.end(), [](const Bin& a, const Bin& b) {
+        return std::tie(b.kind.spot, a.empty, a.room.gpus) <
+               std::tie(a.kind.spot, b.empty, b.room.gpus);
+    });
+    return bins;
+}
+
+std::size_t BinPacking::first_fit(const TaskDemand& demand, const std::string& zone) {
+    std::size_t& cursor = cursors_[{demand.demand_class, zone}];
+    cursor = next_fit(demand, zone, cursor);
+    return cursor;
+}
+
+std::optional<std::string> BinPacking::zone_with_most_room(const TaskDemand& demand) const {
+    std::optional<std::string> best;
+    int most = 0;
+    for (const auto& zone : demand.type->zones) {
+        auto cursor = cursors_.find({demand.demand_class, zone});
+        std::size_t from = cursor == cursors_.end() ? 0 : cursor->second;
+        int fitting = 0;
+        for (std::size_t i = next_fit(demand, zone, from);
+             i < bins_.size() && fitting < demand.spec->tasks; i = next_fit(demand, zone, i + 1)) {
+            ++fitting;
+        }
+        if (fitting > most) {
+            most = fitting;
+            best = zone;
+        }
+    }
+    return best;
+}
+
+void BinPacking::add(const InstanceKind& kind, const Resources& size) {
+    bins_.push_back({kind, true, size});
+}
+
+void BinPacking::place(std::size_t index, const Resources& task) {
+    bins_[index].room -= task;
+    bins_[index].empty = false;
+}
+
+bool BinPacking::accepts(const Bin& bin, const TaskDemand& demand) const {
+    const JobSpec& spec = *demand.spec;
+    bool type_allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
+                                                 bin.kind.type) != spec.types->end();
+    bool spot = bin.kind.spot;
+    const MachineType* type = fleet_.type(bin.kind.type);
+    bool leftovers_only = demand.best_effort && !spot && spec.each.gpus <= 0 && type != nullptr;
+    return type_allowed && (!spot || spec.spot) &&
+           (!demand.demand_class.prefers_spot || spot || !bin.empty) &&
+           spec.each.fits_in(leftovers_only ? Scheduler::leftover(*type, bin.room) : bin.room);
+}
+
+std::size_t BinPacking::next_fit(const TaskDemand& demand, const std::string& zone,
+                                 std::size_t from) const {
+    while (from < bins_.size() &&
+           (bins_[from].kind.zone != zone || !accepts(bins_[from], demand))) {
+        ++from;
+    }
+    return from;
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -0,0 +1,74 @@
+#include "core/autoscaling/cloud_inventory.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace cranemoor::core {
+
+namespace {
+
+// s after which a failed request for the machine types is repeated
+constexpr double types_retry_s = 1.0;
+
+}  // namespace
+
+void CloudInventory::refresh_types() {
+    if (types_in_flight_ || ctx_.now.steady < next_types_at_) {
+        return;
+    }
+    types_in_flight_ = true;
+    CloudCall call;
+    call.kind = CloudCall::Kind::types;
+    ctx_.cloud(call, [this](const CloudReply& reply) {
+        types_in_flight_ = false;
+        if (reply.status == CloudReply::Status::ok) {
+            fleet_.set_machine_types(reply.types);
+            next_types_at_ = ctx_.now.steady + constants::types_every_s;
+        } else {
+            next_types_at_ = ctx_.now.steady + types_retry_s;
+        }
+    });
+}
+
+// As often as the provider renews the listing, and no more pages than a share of the request rate
+// allows.
+double CloudInventory::listing_interval_s() const {
+    bool leader = members_.is_leader();
+    double pages =
+        1 + std::floor(static_cast<double>(fleet_.machines().size()) / constants::machines_page);
+    double requests_per_s =
+        ctx_.settings.cloud_rps * (leader ? constants::list_share : constants::list_share_others);
+    double interval_s = leader ? constants::list_every_s : constants::list_every_others_s;
+    return std::max({interval_s, ctx_.settings.list_lag_s * constants::list_lag_factor,
+                     pages / requests_per_s});
+}
+
+void CloudInventory::refresh_listing() {
+    if (listing_in_flight_ || ctx_.now.steady < next_listing_at_) {
+        return;
+    }
+    next_listing_at_ = ctx_.now.steady + listing_interval_s();
+    request_listing_page("");
+}
+
+// `after`: name of the last machine of the page before, empty for the first page.
+void CloudInventory::request_listing_page(const std::string& after) {
+    listing_in_flight_ = true;
+    CloudCall call;
+    call.kind = CloudCall::Kind::list;
+    call.after = after;
+    ctx_.cloud(call, [this](const CloudReply& reply) {
+        listing_in_flight_ = false;
+        if (reply.status != CloudReply::Status::ok) {
+            return;
+        }
+        fleet_.apply_cloud_listing(reply.listed);
+        if (reply.more && !reply.listed.empty()) {
+            request_listing_page(reply.listed.back().name);
+        } else {
+            listing_complete_ = true;
+        }
+    });
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/autoscaling/cloud_inventory.hpp
@@ -0,0 +1,44 @@
+// CloudInventory: keeps the fleet's machine types and machine listing up to date from the cloud
+// provider. Every controller runs it, the leader most often.
+#pragma once
+
+#include <string>
+
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+
+namespace cranemoor::core {
+
+/// Polls the cloud provider for machine types and for the machine listing, which comes in pages of
+/// `constants::machines_page` machines, and passes both to the Fleet.
+class CloudInventory {
+  public:
+    /// `ctx`, `members` and `fleet` must outlive the CloudInventory.
+    CloudInventory(Context& ctx, const Membership& members, Fleet& fleet)
+        : ctx_(ctx), members_(members), fleet_(fleet) {}
+
+    /// Requests the machine types if they are due and no request is in flight.
+    void refresh_types();
+    /// Requests the first page of the listing if it is due and no page is in flight.
+    void refresh_listing();
+    /// Makes the listing due now.
+    void expire_listing() { next_listing_at_ = 0; }
+    /// Whether the listing has been read to its end at least once.
+    bool listing_complete() const { return listing_complete_; }
+
+  private:
+    double listing_interval_s() const;
+    void request_listing_page(const std::string& after);
+
+    Context& ctx_;
+    const Membership& members_;
+    Fleet& fleet_;
+    bool types_in_flight_ = false;
+    double next_types_at_ = 0;
+    bool listing_in_flight_ = false;
+    bool listing_complete_ = false;
+    double next_listing_at_ = 0;
+};
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/autoscaling/headroom.cpp
@@ -0,0 +1,17 @@
+#include "core/autoscaling/headroom.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace cranemoor::core {
+
+int headroom_machines(const Context& ctx, const Fleet& fleet) {
+    // About as many machines become free as are asked for; what must be kept is the deviation
+    // from that, which is large where one job takes many machines.
+    auto [sum, squares] = fleet.whole_machine_arrivals(ctx.now.wall - constants::arrivals_s);
+    double deviation = std::sqrt(squares / constants::arrivals_s * fleet.longest_boot_s());
+    double expected = std::min(sum, deviation * constants::headroom_margin);
+    return static_cast<int>(std::ceil(std::min(expected, ctx.tunables.headroom_machines)));
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/autoscaling/scale_in.cpp
@@ -0,0 +1,81 @@
+#include "core/autoscaling/scale_in.hpp"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "core/autoscaling/headroom.hpp"
+
+namespace cranemoor::core {
+
+void ScaleIn::mark_unneeded() {
+    mark_never_up();
+    std::vector<Machine*> idle = idle_machines();
+    log_fleet(idle.size());
+    mark_idle(std::move(idle));
+}
+
+// Machines that never came up are charged until they are released.
+void ScaleIn::mark_never_up() {
+    for (Machine* machine : fleet_.all()) {
+        const MachineType* type = fleet_.type(machine->type);
+        if (type == nullptr || machine->up() || fleet_.site(*machine).mark) {
+            continue;
+        }
+        bool starting = machine->listed_state == ListedState::starting;
+        double boot_limit_s = type->boot_s * constants::boot_dead_factor;
+        if (starting && ctx_.now.steady - machine->launched_at > boot_limit_s) {
+            fleet_.mark_for_release(*machine, "never came up", true);
+        }
+    }
+}
+
+std::vector<Machine*> ScaleIn::idle_machines() const {
+    std::vector<Machine*> idle;
+    for (Machine* machine : fleet_.all()) {
+        if (machine->up() && !machine->release_mark_pending && !fleet_.site(*machine).mark &&
+            machine->empty_since >= 0 && fleet_.site(*machine).tasks.empty()) {
+            idle.push_back(machine);
+        }
+    }
+    return idle;
+}
+
+void ScaleIn::log_fleet(std::size_t idle) {
+    if (ctx_.now.steady < next_log_at_) {
+        return;
+    }
+    next_log_at_ = ctx_.now.steady + constants::fleet_log_every_s;
+    int up = 0;
+    double free_gpus = 0;
+    for (const auto& [name, machine] : fleet_.machines()) {
+        bool counts = machine.up() && !machine.release_confirmed && !fleet_.site(machine).mark;
+        up += counts ? 1 : 0;
+        free_gpus += counts && !fleet_.site(machine).tasks.empty() ? fleet_.room(machine).gpus : 0;
+    }
+    ctx_.info(
+        "fleet: {} machines up, {} of them empty, {} to keep so, {:.0f} GPUs free beside "
+        "other work, {} jobs open",
+        up, idle, headroom_machines(ctx_, fleet_), free_gpus, ctx_.jobs.open().size());
+}
+
+// Those idle for longest go first, and only those beyond the headroom; spot instances, which most
+// jobs may not use, are no headroom.
+void ScaleIn::mark_idle(std::vector<Machine*> idle) {
+    std::sort(idle.begin(), idle.end(), [](const Machine* a, const Machine* b) {
+        return std::tie(a->spot, a->empty_since) > std::tie(b->spot, b->empty_since);
+    });
+    int keep = headroom_machines(ctx_, fleet_);
+    for (Machine* machine : idle) {
+        if (!machine->spot && keep > 0) {
+            --keep;
+            continue;
+        }
+        double idle_since = std::max(machine->empty_since, machine->launched_at);
+        if (ctx_.now.steady - idle_since > ctx_.tunables.idle_return_s) {
+            fleet_.mark_for_release(*machine, "idle", false);
+        }
+    }
+}
+
+}  // namespace cranemoor::core
--- /dev/null
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -0,0 +1,210 @@
+#include "core/autoscaling/scale_out_plan.hpp"
+
+#include <algorithm>
+
+#include "core/scheduling/scheduler.hpp"
+
+namespace cranemoor::core {
+
+ScaleOutPlan::ScaleOutPlan(const Context& ctx, const Fleet& fleet, const Quota& quota,
+                           const MachineLauncher& launcher)
+    : ctx_(ctx),
+      fleet_(fleet),
+      quota_(quota),
+      launcher_(launcher),
+      packing_(fleet, collect_bins(ctx, fleet, launcher.pending())) {
+    for (const auto& bin : packing_.bins()) {
+        machines_by_zone_[bin.kind.zone]++;
+    }
+}
+
+void ScaleOutPlan::add_job(const PendingQueue::Waiting& waiting) {
+    const Job& job = *waiting.job;
+    const JobSpec& spec = job.spec;
+    const MachineType* type = cheapest_type_for(spec);
+    // Nothing is launched for a job that is likely to fail again, unless it finds no room for
+    // long: it must have its retries.
+    bool likely_to_fail =
+        job.doubtful() && ctx_.now.steady - waiting.open_since < constants::job_backoff_max_s;
+    if (type == nullptr || likely_to_fail) {
+        return;
+    }
+    TaskDemand demand = demand_of(waiting, *type);
+    // Whether all tasks of its demand class can go to the same bins.
+    bool any_zone = !spec.spread && !spec.together && !spec.zone;
+    if (any_zone && unplaceable_.count(demand.demand_class) != 0) {
+        return;
+    }
+    for (int i = 0; i < job.open(); ++i) {
+        Resources planned = planned_[spec.team] + spec.each;
+        if (!quota_.within_limit(spec.team, planned)) {
+            return;
+        }
+        planned_[spec.team] = planned;
+        if (!place_task(demand)) {
+            if (any_zone) {
+                unplaceable_.insert(demand.demand_class);
+            }
+            return;
+        }
+    }
+}
+
+TaskDemand ScaleOutPlan::demand_of(const PendingQueue::Waiting& waiting, const MachineType& type) {
+    const Job& job = *waiting.job;
+    const JobSpec& spec = job.spec;
+    TaskDemand demand;
+    demand.spec = &spec;
+    demand.type = &type;
+    // Best-effort work has spot instances launched for it, on-demand ones only if it may not use
+    // others.
+    demand.best_effort = Scheduler::idle_work(spec);
+    demand.only_zone = spec.zone;
+    if (spec.spread || spec.together) {
+        job.each_placement([&](int, const Placement& placement) {
+            demand.tasks_by_zone[placement.zone]++;
+            if (spec.together) {
+                demand.only_zone = placement.zone;
+            }
+            return true;
+        });
+    }
+    // A job that may use spot instances takes an empty on-demand machine only if no spot instance
+    // can be had.
+    bool prefers_spot =
+        spec.spot && (demand.best_effort || pick_zone(type.name, true, demand.only_zone));
+    demand.demand_class = {waiting.demands, prefers_spot};
+    if (spec.together && !demand.only_zone && spec.tasks > 1) {
+        // So that little must be launched beside the room that is there.
+        demand.only_zone = packing_.zone_with_most_room(demand);
+    }
+    return demand;
+}
+
+// Places one task in a bin, if need be that of a new machine; false if none can be had now.
+bool ScaleOutPlan::place_task(TaskDemand& demand) {
+    const JobSpec& spec = *demand.spec;
+    Zones excluded;
+    std::size_t index = first_fit(demand, excluded);
+    if (index == packing_.bins().size() && !launch_for(demand, excluded)) {
+        return false;
+    }
+    packing_.place(index, spec.each);
+    const std::string& zone = packing_.bins()[index].kind.zone;
+    demand.tasks_by_zone[zone]++;
+    if (spec.together && !demand.only_zone) {
+        demand.only_zone = zone;
+    }
+    return true;
+}
+
+// The first bin that takes a task, or the number of bins. Adds the zones to `excluded` in which the
+// job has all the tasks that its spread allows.
+std::size_t ScaleOutPlan::first_fit(TaskDemand& demand, Zones& excluded) {
+    const JobSpec& spec = *demand.spec;
+    std::size_t found = packing_.bins().size();
+    for (const auto& zone : demand.type->zones) {
+        if (spec.spread && demand.tasks_by_zone[zone] >= (spec.tasks + 1) / 2) {
+            excluded.insert(zone);
+            continue;
+        }
+        if (demand.only_zone && *demand.only_zone != zone) {
+            continue;
+        }
+        found = std::min(found, packing_.first_fit(demand, zone));
+    }
+    return found;
+}
+
+// Launches one more machine for the job, as the last bin; false if none can be had now.
+bool ScaleOutPlan::launch_for(const TaskDemand& demand, const Zones& excluded) {
+    bool spot = demand.spec->spot;
+    const std::string& type = demand.type->name;
+    auto zone = pick_zone(type, spot, demand.only_zone, excluded);
+    if (!zone && spot && !demand.best_effort) {
+        spot = false;
+        zone = pick_zone(type, spot, demand.only_zone, excluded);
+    }
+    if (!zone) {
+        return false;
+    }
+    InstanceKind kind{type, *zone, spot};
+    if (++launches_[kind] > constants::launch_machines_per_plan) {
+        return false;
+    }
+    machines_by_zone_[*zone]++;
+    packing_.add(kind, demand.type->size);
+    return true;
+}
+
+// The zone to launch in: allowed, with capacity as far as known, and fewest machines.
+std::optional<std::string> ScaleOutPlan::pick_zone(const std::string& type, bool spot,
+                                                   const std::optional<std::string>& only_zone,
+                                                   const Zones& excluded) {
+    std::optional<std::string> best;
+    for (const auto& zone : fleet_.type(type)->zones) {
+        if ((only_zone && *only_zone != zone) || fleet_.zone_partitioned(zone) ||
+            excluded.count(zone) != 0 || launcher_.out_of_capacity({type, zone, spot})) {
+            continue;
+        }
+        if (!best || machines_by_zone_[zone] < machines_by_zone_[*best]) {
+            best = zone;
+        }
+    }
+    return best;
+}
+
+const MachineType* ScaleOutPlan::cheapest_type_for(const JobSpec& spec) const {
+    const MachineType* best = nullptr;
+    for (const auto& type : fleet_.types()) {
+        bool allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
+                                                type.name) != spec.types->end();
+        if (allowed && spec.each.fits_in(type.size) &&
+            (best == nullptr || type.price < best->price)) {
+            best = &type;
+        }
+    }
+    return best;
+}
+
+const MachineType* ScaleOutPlan::cheapest_type() const {
+    const MachineType* best = nullptr;
+    for (const auto& type : fleet_.types()) {
+        best = best == nullptr || type.price < best->price ? &type : best;
+    }
+    return best;
+}
+
+void ScaleOutPlan::add_headroom(int machines) {
+    const MachineType* type = cheapest_type();
+    int empty = 0;
+    for (const auto& bin : packing_.bins()) {
+        empty += bin.empty && !bin.kind.spot ? 1 : 0;
+    }
+    for (; type != nullptr && empty < machines; ++empty) {
+        auto zone = pick_zone(type->name, false, std::nullopt);
+        if (!zone) {
+            break;
+        }
+        launches_[{type->name, *zone, false}]++;
+        machines_by_zone_[*zone]++;
+    }
+}
+
+void ScaleOutPlan::add_spot_headroom() {
+    const MachineType* launch_type = cheapest_type();
+    double free_machines = 0;  // room on spot instances, in parts of a machine by their CPUs
+    for (const auto& bin : packing_.bins()) {
+        const MachineType* type = fleet_.type(bin.kind.type);
+        bool counts = bin.kind.spot && type != nullptr && type->size.cpus > 0;
+        free_machines += counts ? bin.room.cpus / type->size.cpus : 0;
+    }
+    if (launch_type != nullptr && free_machines < constants::cheap_headroom &&
+        fleet_.spot_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
+        if (auto zone = pick_zone(launch_type->name, true, std::nullopt)) {
+            launches_[{launch_type->name, *zone, true}]++;
+        }
+    }
+}
+
+}  // namespace cranemoor::core
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -99,9 +99,9 @@
 // A report that is relayed comes by itself, through report().
 void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
     ctx_.now = now;
-    bool heartbeat = !message.relay && message.rentals.empty();
+    bool heartbeat = !message.relay && message.launches.empty();
     members_.peer_message(peer, message.state_contact, heartbeat, message.lease);
-    autoscaler_.hear(message.rentals);
+    autoscaler_.take_launch_notices(message.launches);
     if (message.pressure) {
         admission_table_sync_.on_pressure_sample(peer, *message.pressure);
     }
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -81,10 +81,10 @@
 };
 
 struct CloudCall {
-    enum class Kind { types, rent, release, list };
+    enum class Kind { types, launch, release, list };
     std::uint64_t id = 0;
     Kind kind = Kind::list;
-    std::string request;  // rent: its name
+    std::string request;  // launch: its name, the idempotency key
     std::string type;
     std::string zone;
     bool spot = false;
@@ -137,15 +137,15 @@
     std::optional<Report> report;
 };
 
-// A rental of the leading member, as it tells the others: under way, or what it brought.
-struct RentalNotice {
-    std::string request;
+/// A launch request of the leader, as it tells its peers: still open, or what it launched.
+struct LaunchNotice {
+    std::string request;  ///< its name, the idempotency key at the cloud provider
     std::string type;
     std::string zone;
     bool spot = false;
-    int count = 0;
-    bool open = true;
-    std::vector<std::string> machines;
+    int count = 0;     ///< machines asked for
+    bool open = true;  ///< without a final answer of the provider yet
+    std::vector<std::string> machines;  ///< once answered: the machines launched
 };
 
 // What a member runs short of, as it tells the others.
@@ -172,7 +172,7 @@
     std::string peer;
     bool state_contact = false;
     std::optional<Report> relay;
-    std::vector<RentalNotice> rentals;
+    std::vector<LaunchNotice> launches;
     std::optional<PressureSample> pressure;
     std::optional<LeaseHeartbeat> lease;
 };
--- a/src/core/model/constants.hpp
+++ b/src/core/model/constants.hpp
@@ -303,7 +303,7 @@
 inline constexpr double spot_save_margin_s = 3.0;
 // s between releases that are asked for without contact with the state service: one call of the
 // cloud's few a second, by each member
-inline constexpr double release_unwritten_s = 1.0;
+inline constexpr double release_unrecorded_every_s = 1.0;
 // fraction of cancel_s after which a machine that still has a cancelled task is released
 inline constexpr double cancel_fence_share = 0.4;
 // the same if its owner has just taken it over and may still hear that the task has ended: late
@@ -326,10 +326,10 @@
 // --- cloud --------------------------------------------------------------------------------
 // s; the cloud's answers take a few hundred ms
 inline constexpr double cloud_timeout_s = 4.0;
-// s between listings by the member that rents, and by the others
+// s between listings by the leader, and by the others
 inline constexpr double list_every_s = 2.0;
 inline constexpr double list_every_others_s = 6.0;
-// share of the cloud's calls for listing pages, of the member that rents and of each other
+// share of the cloud's calls for listing pages, of the leader and of each other
 inline constexpr double list_share = 0.2;
 inline constexpr double list_share_others = 0.08;
 // times list_lag_s between listings: more often they say nothing new
@@ -338,12 +338,12 @@
 inline constexpr double list_lag_most = 2.0;
 // s between looks at prices and types
 inline constexpr double types_every_s = 60.0;
-// s between words in the log about the whole fleet
-inline constexpr double fleet_word_every_s = 10.0;
+// s between log lines about the whole fleet
+inline constexpr double fleet_log_every_s = 10.0;
 // s between provisioning decisions
 inline constexpr double provision_every_s = 0.5;
 // jobs that wait from which on all of them are looked at less often, and how many times less often
-// at the most. For rentals: a machine takes as long as half a minute to come, so seconds still
+// at the most. For launches: a machine takes as long as half a minute to come, so seconds still
 // don't matter
 inline constexpr double plan_jobs = 300;
 inline constexpr double plan_rarely = 6;
@@ -360,14 +360,14 @@
 inline constexpr double cheap_headroom = 0.75;
 // s a type, zone and kind without capacity is left alone
 inline constexpr double no_capacity_s = 12.0;
-// rentals under way at the most: more would only wait for the cloud's rate of calls, and a look
-// made later sees more jobs and asks for more machines in each
-inline constexpr std::size_t rentals_open = 4;
-// machines asked for in one rental at the most, the cloud's own maximum
-inline constexpr int rental_max = 50;
-// machines of one type, zone and kind asked for in one look: what the rate of calls allows in
-// the time of a boot, without a flood for a burst that the next look sees more clearly
-inline constexpr int rental_look = 200;
+// launch requests pending at the most: more would only wait for the cloud's rate of calls, and a
+// plan made later sees more jobs and asks for more machines in each
+inline constexpr std::size_t pending_launches_max = 4;
+// machines asked for in one launch request at the most, the cloud's own maximum
+inline constexpr int launch_machines_max = 50;
+// machines of one instance kind asked for by one plan: what the rate of calls allows in the time
+// of a boot, without a flood for a burst that the next plan sees more clearly
+inline constexpr int launch_machines_per_plan = 200;
 // machines named in one release at the most, the cloud's own maximum
 inline constexpr int release_max = 100;
 // machines of one listing page, the cloud's own maximum
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -618,7 +618,7 @@
         }
         case CloudCall::Kind::release:
             return {"POST", "/rentals/release", encode({{"roosts", call.machines}})};
-        case CloudCall::Kind::rent:
+        case CloudCall::Kind::launch:
             break;
     }
     return {"POST", "/rentals",
@@ -634,7 +634,7 @@
     auto value = decode(body);
     Json v = value && value->is_object() ? std::move(*value) : Json::object();
     try {
-        if (status == 503 && call.kind == CloudCall::Kind::rent &&
+        if (status == 503 && call.kind == CloudCall::Kind::launch &&
             v.value("error", "") == "no capacity") {
             r.status = CloudReply::Status::no_capacity;
             return r;
@@ -660,7 +660,7 @@
                 m.zones = t.at("marshes").get<std::vector<std::string>>();
                 r.types.push_back(std::move(m));
             }
-        } else if (call.kind == CloudCall::Kind::rent) {
+        } else if (call.kind == CloudCall::Kind::launch) {
             r.machines = v.at("roosts").get<std::vector<std::string>>();
         } else if (call.kind == CloudCall::Kind::list) {
             r.more = v.value("has_next", false);
@@ -719,7 +719,7 @@
     if (call.relay) {
         v["report"] = write_report(*call.relay);
     }
-    for (const auto& r : call.rentals) {
+    for (const auto& r : call.launches) {
         v["rentals"].push_back({{"request", r.request},
                                 {"type", r.type},
                                 {"zone", r.zone},
@@ -773,19 +773,19 @@
     return lease;
 }
 
-std::optional<std::vector<RentalNotice>> read_rentals(const Json& list) {
-    std::vector<RentalNotice> notices;
+std::optional<std::vector<LaunchNotice>> read_launch_notices(const Json& list) {
+    std::vector<LaunchNotice> notices;
     if (!list.is_array()) {
         return std::nullopt;
     }
     for (const auto& each : list) {
         Fields f(each);
-        RentalNotice r;
+        LaunchNotice r;
         r.request = f.text("request");
         r.type = f.text("type");
         r.zone = f.text("zone");
         r.spot = f.flag("spot");
-        r.count = static_cast<int>(f.count("count", 1, constants::rental_max));
+        r.count = static_cast<int>(f.count("count", 1, constants::launch_machines_max));
         r.open = f.flag("open");
         r.machines = f.texts("machines");
         if (!f.ok()) {
@@ -816,11 +816,11 @@
         }
     }
     if (!f.null("rentals")) {
-        auto notices = read_rentals(value->at("rentals"));
+        auto notices = read_launch_notices(value->at("rentals"));
         if (!notices) {
             return std::nullopt;
         }
-        m.call.rentals = std::move(*notices);
+        m.call.launches = std::move(*notices);
     }
     if (!f.null("lease")) {
         m.call.lease = read_lease(value->at("lease"));
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -222,7 +222,7 @@
         }
     }
     using CK = core::CloudCall::Kind;
-    for (auto kind : {CK::types, CK::rent, CK::release, CK::list}) {
+    for (auto kind : {CK::types, CK::launch, CK::release, CK::list}) {
         core::CloudCall call;
         call.kind = kind;
         for (int status : {200, 400, 429, 503}) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -238,7 +238,7 @@
 
 TEST(Wire, CloudAnswersByStatus) {
     CloudCall rent;
-    rent.kind = CloudCall::Kind::rent;
+    rent.kind = CloudCall::Kind::launch;
     using S = CloudReply::Status;
     EXPECT_EQ(read_cloud_reply(rent, 503, encode({{"error", "no capacity"}})).status,
               S::no_capacity);
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -473,7 +473,7 @@
                 }
             }
             break;
-        case CloudCall::Kind::rent: {
+        case CloudCall::Kind::launch: {
             auto& names = rented_[call.request];
             if (names.empty()) {
                 int count = std::min(call.count, capacity - machines_up());
@@ -506,7 +506,7 @@
         if (chance(lost_answers)) {
             reply = {};
         }
-        double held = call.kind == CloudCall::Kind::rent ? rental_answer_s : 0;
+        double held = call.kind == CloudCall::Kind::launch ? rental_answer_s : 0;
         after(held + delay(), [=, this] {
             to_node(i, generation,
                     [=, this](Controller& c) { c.cloud_reply(time(), call.id, reply); });
