--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -20,7 +20,7 @@
     }
     inventory_.refresh_listing();
     release_.release_unrecorded();
-    if (!members_.is_leader() || !members_.in_contact() || fleet_.types().empty()) {
+    if (!membership_.is_leader() || !membership_.has_store_contact() || fleet_.types().empty()) {
         return;
     }
     release_.release_marked();
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -23,17 +23,17 @@
 class Autoscaler {
   public:
     /// All arguments must outlive the Autoscaler.
-    Autoscaler(Context& ctx, Membership& members, Fleet& fleet, Scheduler& scheduler, Quota& quota,
-               const PendingQueue& pending_queue)
+    Autoscaler(Context& ctx, Membership& membership, Fleet& fleet, Scheduler& scheduler,
+               Quota& quota, const PendingQueue& pending_queue)
         : ctx_(ctx),
-          members_(members),
+          membership_(membership),
           fleet_(fleet),
           scheduler_(scheduler),
           quota_(quota),
           pending_queue_(pending_queue),
-          inventory_(ctx, members, fleet),
-          launcher_(ctx, members, fleet),
-          release_(ctx, members, fleet),
+          inventory_(ctx, membership, fleet),
+          launcher_(ctx, membership, fleet),
+          release_(ctx, membership, fleet),
           scale_in_(ctx, fleet) {}
 
     /// Periodic work: the cloud listing on every controller, all the rest on the leader.
@@ -49,7 +49,7 @@
     void scale_out();
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     const Fleet& fleet_;
     const Scheduler& scheduler_;
     const Quota& quota_;
--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -33,7 +33,7 @@
 // As often as the provider renews the listing, and no more pages than a share of the request rate
 // allows.
 double CloudInventory::listing_interval_s() const {
-    bool leader = members_.is_leader();
+    bool leader = membership_.is_leader();
     double pages =
         1 + std::floor(static_cast<double>(fleet_.machines().size()) / constants::machines_page);
     double requests_per_s =
--- a/src/core/autoscaling/cloud_inventory.hpp
+++ b/src/core/autoscaling/cloud_inventory.hpp
@@ -14,9 +14,9 @@
 /// `constants::machines_page` machines, and passes both to the Fleet.
 class CloudInventory {
   public:
-    /// `ctx`, `members` and `fleet` must outlive the CloudInventory.
-    CloudInventory(Context& ctx, const Membership& members, Fleet& fleet)
-        : ctx_(ctx), members_(members), fleet_(fleet) {}
+    /// `ctx`, `membership` and `fleet` must outlive the CloudInventory.
+    CloudInventory(Context& ctx, const Membership& membership, Fleet& fleet)
+        : ctx_(ctx), membership_(membership), fleet_(fleet) {}
 
     /// Requests the machine types if they are due and no request is in flight.
     void refresh_types();
@@ -32,7 +32,7 @@
     void request_listing_page(const std::string& after);
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     Fleet& fleet_;
     bool types_in_flight_ = false;
     double next_types_at_ = 0;
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void MachineLauncher::epoch_changed() {
-    if (members_.is_leader()) {
+    if (membership_.is_leader()) {
         take_over();
     } else {
         // What they may still launch is up to the next leader, which was told of them.
@@ -91,7 +91,7 @@
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
-        call.state_contact = members_.in_contact();
+        call.state_contact = membership_.has_store_contact();
         call.launches = notices;
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
--- a/src/core/autoscaling/machine_launcher.hpp
+++ b/src/core/autoscaling/machine_launcher.hpp
@@ -28,9 +28,9 @@
 /// capacity, and exchanges launch notices with the peers.
 class MachineLauncher {
   public:
-    /// `ctx`, `members` and `fleet` must outlive the MachineLauncher.
-    MachineLauncher(Context& ctx, const Membership& members, Fleet& fleet)
-        : ctx_(ctx), members_(members), fleet_(fleet) {}
+    /// `ctx`, `membership` and `fleet` must outlive the MachineLauncher.
+    MachineLauncher(Context& ctx, const Membership& membership, Fleet& fleet)
+        : ctx_(ctx), membership_(membership), fleet_(fleet) {}
 
     /// The membership epoch changed: the leader takes over the requests that it was told of, any
     /// other controller drops its own.
@@ -69,7 +69,7 @@
     void set_out_of_capacity(const InstanceKind& kind);
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     Fleet& fleet_;
     std::uint64_t requests_made_ = 0;
     std::vector<PendingLaunch> pending_;
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -58,12 +58,12 @@
 // there is contact the machine is found silent, marked and released again, and only that answer is
 // the proof. Only who may still answer its workers does it: others may have taken them over.
 void MachineRelease::release_unrecorded() {
-    if (members_.in_contact()) {
+    if (membership_.has_store_contact()) {
         released_unrecorded_.clear();
         return;
     }
-    if (unrecorded_in_flight_ || !members_.may_answer_workers() || members_.peers_have_contact() ||
-        ctx_.now.steady < next_unrecorded_at_) {
+    if (unrecorded_in_flight_ || !membership_.may_answer_workers() ||
+        membership_.peers_have_store_contact() || ctx_.now.steady < next_unrecorded_at_) {
         return;
     }
     next_unrecorded_at_ = ctx_.now.steady + constants::release_unrecorded_every_s;
--- a/src/core/autoscaling/machine_release.hpp
+++ b/src/core/autoscaling/machine_release.hpp
@@ -18,9 +18,9 @@
 /// Release requests to the cloud provider and the records of release marks.
 class MachineRelease {
   public:
-    /// `ctx`, `members` and `fleet` must outlive the MachineRelease.
-    MachineRelease(Context& ctx, const Membership& members, Fleet& fleet)
-        : ctx_(ctx), members_(members), fleet_(fleet) {}
+    /// `ctx`, `membership` and `fleet` must outlive the MachineRelease.
+    MachineRelease(Context& ctx, const Membership& membership, Fleet& fleet)
+        : ctx_(ctx), membership_(membership), fleet_(fleet) {}
 
     /// Leader only: releases marked machines that are empty or to be fenced, and records in their
     /// marks what the provider confirmed. One release is in flight at a time.
@@ -42,7 +42,7 @@
     bool may_delete(const Marks& marks, double gone_since) const;
 
     Context& ctx_;
-    const Membership& members_;
+    const Membership& membership_;
     Fleet& fleet_;
 
     bool release_in_flight_ = false;  // or its record
