--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -42,7 +42,7 @@
     }
     ScaleOutPlan plan(ctx_, fleet_, quota_, launcher_);
     std::vector<const PendingQueue::Waiting*> jobs;
-    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
+    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
         jobs.push_back(&waiting);
         return true;
     });
--- a/src/core/autoscaling/bin_packing.cpp
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "core/scheduling/scheduler.hpp"
+#include "core/scheduling/placement_constraints.hpp"
 
 namespace cranemoor::core {
 
@@ -90,7 +90,8 @@
     bool leftovers_only = demand.best_effort && !spot && spec.each.gpus <= 0 && type != nullptr;
     return type_allowed && (!spot || spec.spot) &&
            (!demand.demand_class.prefers_spot || spot || !bin.empty) &&
-           spec.each.fits_in(leftovers_only ? Scheduler::leftover(*type, bin.room) : bin.room);
+           spec.each.fits_in(leftovers_only ? PlacementConstraints::leftover_room(*type, bin.room)
+                                            : bin.room);
 }
 
 std::size_t BinPacking::next_fit(const TaskDemand& demand, const std::string& zone,
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/scheduling/scheduler.hpp"
+#include "core/scheduling/placement_constraints.hpp"
 
 namespace cranemoor::core {
 
@@ -58,7 +58,7 @@
     demand.type = &type;
     // Best-effort work has spot instances launched for it, on-demand ones only if it may not use
     // others.
-    demand.best_effort = Scheduler::idle_work(spec);
+    demand.best_effort = PlacementConstraints::is_best_effort_spot(spec);
     demand.only_zone = spec.zone;
     if (spec.spread || spec.together) {
         job.each_placement([&](int, const Placement& placement) {
