--- a/src/core/agents/agent_manager.hpp
+++ b/src/core/agents/agent_manager.hpp
@@ -49,6 +49,7 @@
 
     /// The machines, their types, free room and cached images.
     AgentRegistry& registry() { return registry_; }
+    const AgentRegistry& registry() const { return registry_; }
     /// Recent submissions of jobs that need whole machines or may use spot machines.
     const JobArrivals& job_arrivals() const { return job_arrivals_; }
     /// The pauses of jobs whose tasks keep failing.
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -102,7 +102,7 @@
 void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
     ctx_.now = now;
     membership_.on_peer_message(peer, message);
-    autoscaler_.hear(message.rentals);
+    autoscaler_.take_launch_notices(message.launches);
     if (message.pressure) {
         admission_table_sync_.on_pressure_sample(peer, *message.pressure);
     }
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -53,7 +53,7 @@
 void Membership::on_peer_message(const std::string& peer, const PeerCall& message) {
     peers_.on_message(peer, message.state_contact);
     if (!message.lease) {
-        bool is_heartbeat = !message.relay && message.rentals.empty();
+        bool is_heartbeat = !message.relay && message.launches.empty();
         if (is_heartbeat) {
             peers_.on_heartbeat_without_leases(peer);
         }
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -37,7 +37,7 @@
 }
 
 bool says_no_capacity(const CloudCall& call, int http_status, const Json& map) {
-    return http_status == 503 && call.kind == CloudCall::Kind::rent &&
+    return http_status == 503 && call.kind == CloudCall::Kind::launch &&
            map.value("error", "") == "no capacity";
 }
 
@@ -93,7 +93,7 @@
                 reply.types.push_back(read_machine_type(each));
             }
             break;
-        case CloudCall::Kind::rent:
+        case CloudCall::Kind::launch:
             reply.machines = map.at("roosts").get<std::vector<std::string>>();
             break;
         case CloudCall::Kind::list:
@@ -135,7 +135,7 @@
             return list_request(call);
         case CloudCall::Kind::release:
             return {"POST", "/rentals/release", encode_cbor({{"roosts", call.machines}})};
-        case CloudCall::Kind::rent:
+        case CloudCall::Kind::launch:
             break;
     }
     return rent_request(call);
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -78,35 +78,35 @@
     return lease;
 }
 
-// --- rentals and pressure
+// --- launch notices and pressure
 
-Json encode_rental(const RentalNotice& rental) {
-    return {{"request", rental.request},  {"type", rental.type},   {"zone", rental.zone},
-            {"spot", rental.spot},        {"count", rental.count}, {"open", rental.open},
-            {"machines", rental.machines}};
+Json encode_launch_notice(const LaunchNotice& notice) {
+    return {{"request", notice.request},  {"type", notice.type},   {"zone", notice.zone},
+            {"spot", notice.spot},        {"count", notice.count}, {"open", notice.open},
+            {"machines", notice.machines}};
 }
 
-Decoded<std::vector<RentalNotice>> decode_rentals(const Json& list) {
+Decoded<std::vector<LaunchNotice>> decode_launch_notices(const Json& list) {
     if (!list.is_array()) {
         return invalid_field("rentals");
     }
-    std::vector<RentalNotice> rentals;
+    std::vector<LaunchNotice> notices;
     for (const auto& each : list) {
         Fields fields(each);
-        RentalNotice rental;
-        rental.request = fields.text("request");
-        rental.type = fields.text("type");
-        rental.zone = fields.text("zone");
-        rental.spot = fields.flag("spot");
-        rental.count = static_cast<int>(fields.count("count", 1, constants::rental_max));
-        rental.open = fields.flag("open");
-        rental.machines = fields.texts("machines");
+        LaunchNotice notice;
+        notice.request = fields.text("request");
+        notice.type = fields.text("type");
+        notice.zone = fields.text("zone");
+        notice.spot = fields.flag("spot");
+        notice.count = static_cast<int>(fields.count("count", 1, constants::launch_machines_max));
+        notice.open = fields.flag("open");
+        notice.machines = fields.texts("machines");
         if (!fields.ok()) {
             return fields.error();
         }
-        rentals.push_back(std::move(rental));
+        notices.push_back(std::move(notice));
     }
-    return rentals;
+    return notices;
 }
 
 Decoded<PressureSample> decode_pressure(const Json& map) {
@@ -141,7 +141,7 @@
     if (auto error = decode_optional(map, "report", decode_heartbeat, call.relay)) {
         return error;
     }
-    if (auto error = decode_optional(map, "rentals", decode_rentals, call.rentals)) {
+    if (auto error = decode_optional(map, "rentals", decode_launch_notices, call.launches)) {
         return error;
     }
     if (auto error = decode_optional(map, "lease", decode_lease_heartbeat, call.lease)) {
@@ -157,8 +157,8 @@
     if (call.relay) {
         map["report"] = encode_heartbeat(*call.relay);
     }
-    for (const auto& rental : call.rentals) {
-        map["rentals"].push_back(encode_rental(rental));
+    for (const auto& notice : call.launches) {
+        map["rentals"].push_back(encode_launch_notice(notice));
     }
     if (call.pressure) {
         map["pressure"] = {{"write_wait_s", call.pressure->write_wait_s},
--- a/tests/fake_cloud.cpp
+++ b/tests/fake_cloud.cpp
@@ -23,7 +23,7 @@
         case CloudCall::Kind::release:
             release(call.machines);
             break;
-        case CloudCall::Kind::rent:
+        case CloudCall::Kind::launch:
             return rent(call);
     }
     return reply;
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -171,7 +171,7 @@
         if (simulation.chance(faults.lost_reply_probability)) {
             reply = {};
         }
-        double wait_s = call.kind == CloudCall::Kind::rent ? cloud.rental_reply_delay_s : 0;
+        double wait_s = call.kind == CloudCall::Kind::launch ? cloud.rental_reply_delay_s : 0;
         simulation.after(wait_s + simulation.message_delay(), [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
                 controller.cloud_reply(time(), call.id, reply);
