--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -29,7 +29,7 @@
     std::vector<std::string> machines;
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
-            const Mark* mark = ctx_.jobs.mark(name);
+            const Cordon* mark = ctx_.jobs.mark(name);
             if (!mark->gone && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
                 machines.size() < constants::release_max) {
                 machines.push_back(name);
@@ -93,7 +93,7 @@
     txn.purpose = Txn::Purpose::mark;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, old] : ctx_.jobs.marks()) {
-        Marks marks = old;
+        CordonBatch marks = old;
         std::size_t bytes = constants::marks_frame_bytes + old.why.size();
         for (const auto& name : marks.machines) {
             bytes += mark_bytes(name);
@@ -126,9 +126,9 @@
 
 // A record that was written under a larger limit can't be put again with what is gone: that is
 // said by records beside it. A machine is gone if any of its marks says so.
-void MachineRelease::add_separate_marks(const Marks& old, const std::set<std::string>& machines,
+void MachineRelease::add_separate_marks(const CordonBatch& old, const std::set<std::string>& machines,
                                         Txn& txn) {
-    Marks separate;
+    CordonBatch separate;
     separate.why = old.why;
     separate.fence = old.fence;
     std::size_t bytes = 0;
@@ -144,7 +144,7 @@
     };
     write_and_reset();
     for (const auto& name : machines) {
-        const Mark* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.mark(name);
         if (old.machines.count(name) == 0 || (mark != nullptr && mark->gone)) {
             continue;
         }
@@ -188,9 +188,9 @@
 
 // Whether all machines of a record are gone, by all marks together, and no other record relies on
 // this one to say so.
-bool MachineRelease::all_gone(const std::string& key, const Marks& marks) const {
+bool MachineRelease::all_gone(const std::string& key, const CordonBatch& marks) const {
     return std::all_of(marks.machines.begin(), marks.machines.end(), [&](const auto& name) {
-        const Mark* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.mark(name);
         bool needed = marks.gone.count(name) != 0 && only_proof_of_release(key, name);
         return mark != nullptr && mark->gone && !needed;
     });
@@ -207,7 +207,7 @@
 
 // Whether the machines have been gone long enough, none is still listed, and no task is recorded
 // as placed there.
-bool MachineRelease::may_delete(const Marks& marks, double gone_since) const {
+bool MachineRelease::may_delete(const CordonBatch& marks, double gone_since) const {
     if (ctx_.now.steady - gone_since <= constants::gone_mark_s) {
         return false;
     }
--- a/src/core/autoscaling/machine_release.hpp
+++ b/src/core/autoscaling/machine_release.hpp
@@ -36,10 +36,10 @@
 
     void request_release(const std::vector<std::string>& machines, const Confirmed& done);
     void record_released(const std::set<std::string>& machines);
-    void add_separate_marks(const Marks& old, const std::set<std::string>& machines, Txn& txn);
-    bool all_gone(const std::string& key, const Marks& marks) const;
+    void add_separate_marks(const CordonBatch& old, const std::set<std::string>& machines, Txn& txn);
+    bool all_gone(const std::string& key, const CordonBatch& marks) const;
     bool only_proof_of_release(const std::string& key, const std::string& machine) const;
-    bool may_delete(const Marks& marks, double gone_since) const;
+    bool may_delete(const CordonBatch& marks, double gone_since) const;
 
     Context& ctx_;
     const Membership& membership_;
