--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -181,7 +181,7 @@
     ctx_.out.emplace_back(reply);
 }
 
-void Fleet::redirect_heartbeat(std::uint64_t request, const Report& r, const Member* owner,
+void Fleet::redirect_heartbeat(std::uint64_t request, const Heartbeat& r, const Member* owner,
                                bool relayed) {
     if (owner == nullptr || relayed) {
         reject_heartbeat(request, 421);
@@ -219,7 +219,7 @@
     });
 }
 
-void Fleet::handle_heartbeat(std::uint64_t request, const Report& r, bool relayed) {
+void Fleet::handle_heartbeat(std::uint64_t request, const Heartbeat& r, bool relayed) {
     if (!members_.may_answer_workers()) {
         reject_heartbeat(request, 503);
         return;
@@ -237,7 +237,7 @@
     last_direct_heartbeat_at_ = relayed ? last_direct_heartbeat_at_ : ctx_.now.steady;
     Machine& m = find_or_add(r.machine).first;
     if (m.heartbeat_received &&
-        std::tie(r.session, r.seq) <= std::tie(m.agent_epoch, m.heartbeat_seq)) {
+        std::tie(r.agent_epoch, r.seq) <= std::tie(m.agent_epoch, m.heartbeat_seq)) {
         // A delayed report: its list of tasks is as old as itself.
         WorkerReply reply;
         reply.request = request;
@@ -297,7 +297,7 @@
            (relayed > mine * constants::relayed_share || t - last_direct_heartbeat_at_ > gap);
 }
 
-void Fleet::apply_heartbeat(Machine& m, const Report& r) {
+void Fleet::apply_heartbeat(Machine& m, const Heartbeat& r) {
     bool first = !m.heartbeat_received;
     m.room_known = false;
     m.address = r.address;
@@ -315,7 +315,7 @@
         m.owned_since = ctx_.now.steady;
     }
     m.heartbeat_received = true;
-    m.agent_epoch = r.session;
+    m.agent_epoch = r.agent_epoch;
     m.heartbeat_seq = r.seq;
     m.fencing_token = r.token;
     if (r.notice_s && !m.interruption_deadline) {
@@ -577,7 +577,7 @@
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
-    call.session = m.agent_epoch;
+    call.agent_epoch = m.agent_epoch;
     call.commands.push_back({Command::Kind::stop, task.first, task.second, s.grace_s});
     ctx_.order(call, [](const OrderReply&) {
         // The worker reports the change by itself within half a second.
@@ -658,17 +658,17 @@
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
-    call.session = std::max<std::uint64_t>(m.agent_epoch, 1);
+    call.agent_epoch = std::max<std::uint64_t>(m.agent_epoch, 1);
     Token token = ctx_.fencing_token;
     ctx_.order(call, [this, name = m.name, token, tries](const OrderReply& reply) {
         Machine* m = find(name);
-        if (m == nullptr || !reply.report || !m->owned_by_us || token != ctx_.fencing_token ||
+        if (m == nullptr || !reply.heartbeat || !m->owned_by_us || token != ctx_.fencing_token ||
             m->adopted) {
             return;
         }
-        const Report& r = *reply.report;
+        const Heartbeat& r = *reply.heartbeat;
         if (m->heartbeat_received &&
-            std::tie(r.session, r.seq) <= std::tie(m->agent_epoch, m->heartbeat_seq)) {
+            std::tie(r.agent_epoch, r.seq) <= std::tie(m->agent_epoch, m->heartbeat_seq)) {
             return;
         }
         apply_heartbeat(*m, r);
@@ -794,8 +794,8 @@
             // Alive, but it reports elsewhere or its reports don't get through: the raised
             // token makes it turn away from whoever answers it wrongly.
             m->probe_failures = 0;
-            if (reply.report) {
-                m->agent_epoch = std::max(m->agent_epoch, reply.report->session);
+            if (reply.heartbeat) {
+                m->agent_epoch = std::max(m->agent_epoch, reply.heartbeat->agent_epoch);
             }
             if (m->owned_by_us) {
                 raise_fencing_token(*m, 1);
--- a/src/core/agents/fleet.hpp
+++ b/src/core/agents/fleet.hpp
@@ -117,7 +117,7 @@
     /// with 503 (may not answer workers), 421 (newer fencing token, or another owner: redirect or
     /// relay), with 200 at once to a stale one, or holds the reply open until something is due.
     /// `relayed`: it came by way of a peer controller and is never passed on again.
-    void handle_heartbeat(std::uint64_t request, const Report& report, bool relayed);
+    void handle_heartbeat(std::uint64_t request, const Heartbeat& report, bool relayed);
     /// The membership epoch changed from `before`: machines whose owner may have changed lose
     /// their adoption and are queued for a fencing-token raise.
     void epoch_changed(const std::optional<Epoch>& before);
@@ -224,13 +224,13 @@
     };
 
     std::pair<Machine&, bool> find_or_add(const std::string& name);
-    void apply_heartbeat(Machine& m, const Report& r);
+    void apply_heartbeat(Machine& m, const Heartbeat& r);
     void reconcile_tasks(Machine& m, bool from_report);
     void record_exit(Machine& m, const TaskStatus& s);
     bool should_start(const Machine& m, const Job& job) const;
     void raise_fencing_token(Machine& m, int tries);
     void probe(Machine& m);
-    void redirect_heartbeat(std::uint64_t request, const Report& r, const Member* owner,
+    void redirect_heartbeat(std::uint64_t request, const Heartbeat& r, const Member* owner,
                             bool relayed);
     void note_image_used(Machine& m, const std::string& image, double gb);
     void reject_heartbeat(std::uint64_t request, int status, const std::string& home = "");
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -91,7 +91,7 @@
     return members_.healthy() && !fleet_.types().empty();
 }
 
-void Controller::report(Now now, std::uint64_t request, const Report& report, bool relayed) {
+void Controller::report(Now now, std::uint64_t request, const Heartbeat& report, bool relayed) {
     ctx_.now = now;
     fleet_.handle_heartbeat(request, report, relayed);
 }
--- a/src/core/controller/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -38,7 +38,7 @@
     void cancel(Now now, std::uint64_t request, const std::string& uid);
     bool healthy(Now now);
 
-    void report(Now now, std::uint64_t request, const Report& report, bool relayed);
+    void report(Now now, std::uint64_t request, const Heartbeat& report, bool relayed);
     void peer_message(Now now, const std::string& peer, const PeerCall& message);
 
     void state_reply(Now now, std::uint64_t id, const StateReply& reply);
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -120,21 +120,21 @@
     std::vector<Command> commands;
 };
 
-// Commands sent to a worker's own address; without commands it raises the token. A session of 0
-// asks for the status only.
+// Commands sent to a worker's own address; without commands it raises the token. An agent
+// epoch of 0 asks for the status only.
 struct OrderCall {
     std::uint64_t id = 0;
     std::string machine;
     std::string address;
     Token token = 0;
-    std::uint64_t session = 0;
+    std::uint64_t agent_epoch = 0;
     std::vector<Command> commands;
 };
 
 struct OrderReply {
     bool answered = false;
     bool executed = false;
-    std::optional<Report> report;
+    std::optional<Heartbeat> heartbeat;
 };
 
 // A rental of the leading member, as it tells the others: under way, or what it brought.
@@ -171,7 +171,7 @@
     std::uint64_t id = 0;
     std::string peer;
     bool state_contact = false;
-    std::optional<Report> relay;
+    std::optional<Heartbeat> relay;
     std::vector<RentalNotice> rentals;
     std::optional<PressureSample> pressure;
     std::optional<LeaseHeartbeat> lease;
--- a/src/core/model/types.hpp
+++ b/src/core/model/types.hpp
@@ -106,13 +106,13 @@
     bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
+    std::uint64_t agent_epoch = 0;
     std::uint64_t seq = 0;
     Token token = 0;
     std::optional<double> notice_s;
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -168,7 +168,7 @@
 }
 
 void Gateway::act(const core::OrderCall& call) {
-    bool status = call.session == 0;
+    bool status = call.agent_epoch == 0;
     worker(call.address)
         .request(status ? "GET" : "POST", status ? "/status" : "/orders",
                  status ? "" : wire::encode_worker_commands(call), c::order_timeout_s,
@@ -177,7 +177,7 @@
                      if (m != nullptr) {
                          reply.answered = true;
                          reply.executed = m->status == 200;
-                         reply.report = wire::decode_heartbeat_body(m->body).to_optional();
+                         reply.heartbeat = wire::decode_heartbeat_body(m->body).to_optional();
                      }
                      controller_.order_reply(loop_.now(), id, reply);
                      act();
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -107,15 +107,15 @@
 
 }  // namespace
 
-Decoded<Report> decode_heartbeat(const Json& map) {
+Decoded<Heartbeat> decode_heartbeat(const Json& map) {
     Fields fields(map);
-    Report heartbeat;
+    Heartbeat heartbeat;
     heartbeat.machine = fields.text("roost");
     heartbeat.address = fields.text("endpoint");
     heartbeat.type = fields.text("breed");
     heartbeat.zone = fields.text("marsh");
     heartbeat.spot = fields.flag("driftwood");
-    heartbeat.session = fields.count("perch");
+    heartbeat.agent_epoch = fields.count("perch");
     heartbeat.seq = fields.count("call_seq");
     heartbeat.token = fields.count("crest");
     heartbeat.notice_s = fields.amount_or_null("warning_s");
@@ -135,7 +135,7 @@
     return heartbeat;
 }
 
-Decoded<Report> decode_heartbeat_body(const std::string& body) {
+Decoded<Heartbeat> decode_heartbeat_body(const std::string& body) {
     auto map = decode_cbor_map(body);
     if (!map) {
         return map.error();
@@ -143,14 +143,14 @@
     return decode_heartbeat(*map);
 }
 
-Json encode_heartbeat(const Report& heartbeat) {
+Json encode_heartbeat(const Heartbeat& heartbeat) {
     Json tasks = Json::array();
     for (const auto& task : heartbeat.tasks) {
         tasks.push_back(encode_task_status(task));
     }
     Json map = {{"roost", heartbeat.machine},    {"endpoint", heartbeat.address},
                 {"breed", heartbeat.type},       {"marsh", heartbeat.zone},
-                {"driftwood", heartbeat.spot},   {"perch", heartbeat.session},
+                {"driftwood", heartbeat.spot},   {"perch", heartbeat.agent_epoch},
                 {"call_seq", heartbeat.seq},     {"crest", heartbeat.token},
                 {"hatchlings", std::move(tasks)}};
     map["warning_s"] = heartbeat.notice_s ? Json(*heartbeat.notice_s) : Json();
@@ -170,7 +170,7 @@
 
 std::string encode_worker_commands(const OrderCall& call) {
     return encode_cbor({{"crest", call.token},
-                        {"perch", call.session},
+                        {"perch", call.agent_epoch},
                         {"calls", encode_commands(call.commands)}});
 }
 
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -14,13 +14,13 @@
 
 /// Decodes a worker's heartbeat ("POST /hello", and the answers to "POST /orders" and
 /// "GET /status"). An exit reason that the protocol does not name becomes `ExitReason::other`.
-Decoded<core::Report> decode_heartbeat(const Json& map);
+Decoded<core::Heartbeat> decode_heartbeat(const Json& map);
 
 /// Decodes a message body that is a heartbeat.
-Decoded<core::Report> decode_heartbeat_body(const std::string& body);
+Decoded<core::Heartbeat> decode_heartbeat_body(const std::string& body);
 
 /// Encodes a heartbeat, to relay it to another controller.
-Json encode_heartbeat(const core::Report& heartbeat);
+Json encode_heartbeat(const core::Heartbeat& heartbeat);
 
 /// Encodes the answer to a heartbeat: commands, or the name of the machine's own controller.
 std::string encode_worker_reply(const core::WorkerReply& reply);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -249,7 +249,7 @@
     // Of an earlier session, without the task: neither adopted by it nor a proof of anything.
     run_job(1, JobKind::service, 1, "a");
     ASSERT_EQ(holder("vm-50000a"), 0);
-    Report old{"vm-50000a", "vm-50000a", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    Heartbeat old{"vm-50000a", "vm-50000a", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
     w.kill(0);
     ASSERT_TRUE(w.until([&] { return w.node(1).context().jobs.epoch()->members.size() == 2; }, 10));
     for (int i : {1, 2}) {
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -230,7 +230,7 @@
     EXPECT_TRUE(ask("DELETE", "/work", "", is(405), 1));
 
     // A worker of ours: reports until it is told to start the task, then says it is done.
-    core::Report report{"vm-1", local(1), "g", "a", false, 1, 1, 0, std::nullopt, {}};
+    core::Heartbeat report{"vm-1", local(1), "g", "a", false, 1, 1, 0, std::nullopt, {}};
     std::optional<Json> start_call;
     for (int i = 0; i < 40 && !start_call; ++i) {
         auto answer =
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -9,8 +9,8 @@
 namespace cranemoor::test {
 namespace {
 
-Report bare_report(const std::string& name, const std::string& zone, Token token,
-                   std::uint64_t seq) {
+Heartbeat bare_report(const std::string& name, const std::string& zone, Token token,
+                      std::uint64_t seq) {
     return {name, name, "t8", zone, false, 1, seq, token, std::nullopt, {}};
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -116,7 +116,7 @@
 
 TEST(Wire, AReportWithSuchATextIsRefusedToo) {
     // Its machine and zone go into records: writing them would have ended the process.
-    Report r{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    Heartbeat r{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
     ASSERT_TRUE(decode_heartbeat(encode_heartbeat(r)));
     for (auto* text : {&r.machine, &r.zone, &r.type}) {
         auto good = std::exchange(*text, "\xff\xfe");
@@ -149,20 +149,20 @@
 }
 
 TEST(Wire, ReportsSurviveTheWayThroughARelay) {
-    Report r{"vm-1",
-             "10.1.0.1:9",
-             "g8",
-             "a",
-             true,
-             2,
-             88,
-             41,
-             7.5,
-             {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
-              {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
+    Heartbeat r{"vm-1",
+                "10.1.0.1:9",
+                "g8",
+                "a",
+                true,
+                2,
+                88,
+                41,
+                7.5,
+                {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
+                 {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
     auto back = decode_heartbeat(*decode_cbor(encode_cbor(encode_heartbeat(r))));
     ASSERT_TRUE(back);
-    EXPECT_EQ(back->session, 2U);
+    EXPECT_EQ(back->agent_epoch, 2U);
     EXPECT_EQ(back->notice_s, 7.5);
     ASSERT_EQ(back->tasks.size(), 2U);
     EXPECT_EQ(back->tasks[1].why, ExitReason::stopped);
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -530,9 +530,9 @@
 
 // --- workers
 
-Report World::make_report(FakeMachine& m) {
-    Report r{m.info.name, m.info.name, "t8",    m.info.zone, m.info.spot,
-             m.session,   ++m.seq,     m.token, m.notice_s,  {}};
+Heartbeat World::make_report(FakeMachine& m) {
+    Heartbeat r{m.info.name, m.info.name, "t8",    m.info.zone, m.info.spot,
+                m.session,   ++m.seq,     m.token, m.notice_s,  {}};
     for (const auto& [id, attempts] : m.tasks) {
         for (const auto& [attempt, t] : attempts) {
             r.tasks.push_back({id, attempt, t.state, t.why, t.saved});
@@ -657,7 +657,7 @@
     m.in_flight = true;
     m.sent_at = now;
     m.next_report = now + settings.report_s;
-    Report r = make_report(m);
+    Heartbeat r = make_report(m);
     std::size_t target = m.target;
     int generation = nodes_[target].generation;
     bool lost = m.zone_cut || m.mute || (m.only >= 0 && m.only != static_cast<int>(target)) ||
@@ -693,7 +693,7 @@
 }
 
 // A copy of it comes from 2 s to well over a lease later, to whatever process runs there then.
-void World::report_again(std::size_t target, const Report& report) {
+void World::report_again(std::size_t target, const Heartbeat& report) {
     std::uniform_real_distribution<double> late(2, 1.5 * settings.lease_s);
     after(late(random_), [=, this] {
         to_node(static_cast<int>(target), nodes_[target].generation, [=, this](Controller& c) {
@@ -871,7 +871,7 @@
         bool reach = way && !it->second.hangs;
         auto carry_out = [this, call, name = call.address] {
             FakeMachine& m = machines[name];
-            if (call.session == 0 || call.token < m.token || call.session != m.session) {
+            if (call.agent_epoch == 0 || call.token < m.token || call.agent_epoch != m.session) {
                 return false;
             }
             m.token = call.token;
@@ -883,7 +883,7 @@
         if (reach) {
             reply.answered = true;
             reply.executed = carry_out();
-            reply.report = make_report(it->second);
+            reply.heartbeat = make_report(it->second);
         } else if (way) {
             it->second.held.emplace_back(carry_out);
         }
@@ -937,7 +937,7 @@
     }
 }
 
-WorkerReply World::report(int i, const Report& r) {
+WorkerReply World::report(int i, const Heartbeat& r) {
     std::uint64_t request = ++next_request_;
     auto got = std::make_shared<std::optional<WorkerReply>>();
     worker_done_[request] = [got](const WorkerReply& reply) { *got = reply; };
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -85,7 +85,7 @@
     UserReply answer(std::uint64_t request, double seconds = 6);
     UserReply submit_and_wait(int node, const JobSpec& spec) { return answer(submit(node, spec)); }
     UserReply poll_and_wait(int node, const std::string& uid) { return answer(poll(node, uid)); }
-    WorkerReply report(int node, const Report& report);
+    WorkerReply report(int node, const Heartbeat& report);
     FakeMachine& add_machine(const std::string& name, const std::string& zone, bool spot = false);
 
     JobSpec job(int number, JobKind kind = JobKind::array, int tasks = 1) const;
@@ -199,7 +199,7 @@
     void changed(const std::string& key, const std::optional<Json>& value);
     void serve_watches();
     void expire_leases();
-    void report_again(std::size_t target, const Report& report);
+    void report_again(std::size_t target, const Heartbeat& report);
     void to_node(int node, int generation, const std::function<void(Controller&)>& f);
     CloudReply cloud(const CloudCall& call);
     // workers
@@ -210,7 +210,7 @@
     void got_reply(const std::string& machine, std::uint64_t session, double sent,
                    std::size_t target, const WorkerReply& reply);
     void execute(FakeMachine& m, const Command& c);
-    Report make_report(FakeMachine& m);
+    Heartbeat make_report(FakeMachine& m);
     void check_start(const FakeMachine& m, const TaskId& id);
     void check();
     bool needs(const std::string& uid, const std::function<bool(const std::string&)>& what) const;
@@ -241,7 +241,7 @@
     std::set<std::string> asked_cancel_;               // by its user
     AnswerHistory history_;
     std::set<std::uint64_t> looks_;  // requests of close_looks, which bring no others
-    std::vector<Report> kept_;       // see keep_report
+    std::vector<Heartbeat> kept_;    // see keep_report
     Revision forgotten_ = 0;         // changes up to then are told to no watch any more
 };
 
