--- a/src/core/agents/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -573,13 +573,13 @@
 
 void Fleet::send_stop(Machine& m, const Attempt& task, Machine::PendingStop& s) {
     s.last_sent_at = ctx_.now.steady;
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
     call.agent_epoch = m.agent_epoch;
     call.commands.push_back({Command::Kind::stop, task.first, task.second, s.grace_s});
-    ctx_.order(call, [](const OrderReply&) {
+    ctx_.worker_command(call, [](const WorkerCommandReply&) {
         // The worker reports the change by itself within half a second.
     });
 }
@@ -654,13 +654,13 @@
     if (m.address.empty() || tries == 0 || site(m).mark) {
         return;
     }
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = m.name;
     call.address = m.address;
     call.token = ctx_.fencing_token;
     call.agent_epoch = std::max<std::uint64_t>(m.agent_epoch, 1);
     Token token = ctx_.fencing_token;
-    ctx_.order(call, [this, name = m.name, token, tries](const OrderReply& reply) {
+    ctx_.worker_command(call, [this, name = m.name, token, tries](const WorkerCommandReply& reply) {
         Machine* m = find(name);
         if (m == nullptr || !reply.heartbeat || !m->owned_by_us || token != ctx_.fencing_token ||
             m->adopted) {
@@ -738,7 +738,7 @@
             return;
         }
         txn.conditions.push_back(ctx_.epoch_condition());
-        ctx_.txn(std::exchange(txn, {}), [this, names](const StateReply& r) {
+        ctx_.txn(std::exchange(txn, {}), [this, names](const StoreReply& r) {
             ctx_.when_settled(r, [this, names] {
                 for (const auto& name : names) {
                     if (Machine* m = find(name)) {
@@ -781,10 +781,10 @@
         return;
     }
     m.probe_in_flight = true;
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = m.name;
     call.address = m.address;
-    ctx_.order(call, [this, name = m.name](const OrderReply& reply) {
+    ctx_.worker_command(call, [this, name = m.name](const WorkerCommandReply& reply) {
         Machine* m = find(name);
         if (m == nullptr) {
             return;
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -25,7 +25,7 @@
     job.add_block(0, next, txn);
     ctx_.busy.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
-    ctx_.txn(std::move(txn), [this, key](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, key](const StoreReply& r) {
         ctx_.when_settled(r, [this, key] { ctx_.busy.erase(key); });
     });
 }
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -206,7 +206,7 @@
     txn.urgency = later ? Urgency::last : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, taken, written](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, taken, written](const StoreReply& r) {
         blocks_in_flight_ -= written.size();
         on_write_settled(r, taken, written);
     });
@@ -214,7 +214,7 @@
 
 // Refused or unknown: the next tick tries again. If the first one is executed late, its conditions
 // fail or it says the same.
-void PendingTaskExits::on_write_settled(const StateReply& r, const std::vector<std::string>& taken,
+void PendingTaskExits::on_write_settled(const StoreReply& r, const std::vector<std::string>& taken,
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(r, [this, taken, blocks] {
         for (const auto& key : taken) {
@@ -277,7 +277,7 @@
     ctx_.busy.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
-    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& r) {
+    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StoreReply& r) {
         batched_write_in_flight_ = false;
         on_write_settled(r, taken, written);
     });
--- a/src/core/agents/pending_task_exits.hpp
+++ b/src/core/agents/pending_task_exits.hpp
@@ -70,7 +70,7 @@
     void write_blocks(const std::vector<BlockRef>& ready, bool later);
     void write_batched(const std::vector<BlockRef>& ready);
     bool add_block_exit_writes(const BlockRef& which, Txn& txn, std::vector<std::string>& taken);
-    void on_write_settled(const StateReply& reply, const std::vector<std::string>& taken,
+    void on_write_settled(const StoreReply& reply, const std::vector<std::string>& taken,
                           const std::vector<BlockRef>& blocks);
 
     Context& ctx_;
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -257,8 +257,8 @@
         return;
     }
     // Unless it is written, the machines are released again, which does no harm.
-    ctx_.txn(txn, [this](const StateReply& r) {
-        if (r.status != StateReply::Status::ok) {
+    ctx_.txn(txn, [this](const StoreReply& r) {
+        if (r.status != StoreReply::Status::ok) {
             next_release_ = ctx_.now.steady + constants::retry_state_s;
         }
         ctx_.when_settled(r, [this] { releasing_ = false; });
@@ -337,7 +337,7 @@
     }
     retiring_ = true;
     ctx_.txn(txn,
-             [this](const StateReply& r) { ctx_.when_settled(r, [this] { retiring_ = false; }); });
+             [this](const StoreReply& r) { ctx_.when_settled(r, [this] { retiring_ = false; }); });
 }
 
 // Whether another record of the machine doesn't say itself that it is gone.
--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -21,23 +21,23 @@
 
 class Context {
   public:
-    using StateDone = std::function<void(const StateReply&)>;
+    using StateDone = std::function<void(const StoreReply&)>;
     using CloudDone = std::function<void(const CloudReply&)>;
-    using OrderDone = std::function<void(const OrderReply&)>;
+    using WorkerCommandDone = std::function<void(const WorkerCommandReply&)>;
     using PeerDone = std::function<void(bool answered, const std::optional<WorkerReply>&)>;
 
     Context(Settings s, Tunables t, std::string boot_word)
         : settings(std::move(s)), tunables(t), boot(std::move(boot_word)) {}
 
-    void state(StateCall call, StateDone done) {
+    void state(StoreCall call, StateDone done) {
         call.id = ++next_id_;
         overload.began(call.id, call.txn, now.steady);
         state_done_[call.id] = std::move(done);
         out.emplace_back(std::move(call));
     }
     void txn(Txn txn, StateDone done) {
-        StateCall call;
-        call.kind = StateCall::Kind::txn;
+        StoreCall call;
+        call.kind = StoreCall::Kind::txn;
         call.txn = std::move(txn);
         std::size_t most = 0;
         std::string key;
@@ -51,8 +51,8 @@
             }
         }
         state(std::move(call),
-              [this, most, key, leased, done = std::move(done)](const StateReply& r) {
-                  if (r.status == StateReply::Status::bad && !leased) {
+              [this, most, key, leased, done = std::move(done)](const StoreReply& r) {
+                  if (r.status == StoreReply::Status::bad && !leased) {
                       // Not to be repeated as it is. What was larger than the announced limits
                       // allow says that they are in force.
                       error("state service refuses a change of {} and others, {} bytes", key, most);
@@ -66,9 +66,9 @@
         cloud_done_[call.id] = std::move(done);
         out.emplace_back(std::move(call));
     }
-    void order(OrderCall call, OrderDone done) {
+    void worker_command(WorkerCommandCall call, WorkerCommandDone done) {
         call.id = ++next_id_;
-        order_done_[call.id] = std::move(done);
+        worker_command_done_[call.id] = std::move(done);
         out.emplace_back(std::move(call));
     }
     void peer(PeerCall call, PeerDone done) {
@@ -89,12 +89,14 @@
         out.emplace_back(LogLine{LogLine::Level::error, fmt::format(f, std::forward<A>(a)...)});
     }
 
-    void state_reply(std::uint64_t id, const StateReply& r) {
+    void store_reply(std::uint64_t id, const StoreReply& r) {
         overload.ended(id, r.status, now.steady);
         finish(state_done_, id, r);
     }
     void cloud_reply(std::uint64_t id, const CloudReply& r) { finish(cloud_done_, id, r); }
-    void order_reply(std::uint64_t id, const OrderReply& r) { finish(order_done_, id, r); }
+    void worker_command_reply(std::uint64_t id, const WorkerCommandReply& r) {
+        finish(worker_command_done_, id, r);
+    }
     void peer_reply(std::uint64_t id, bool answered, const std::optional<WorkerReply>& r) {
         finish(peer_done_, id, answered, r);
     }
@@ -109,8 +111,8 @@
     }
     // Runs `over` when a transaction is settled: once the copy shows what it or its rival wrote,
     // or at once where nothing is known to have been written.
-    void when_settled(const StateReply& r, std::function<void()> over) {
-        if (r.status == StateReply::Status::ok || r.status == StateReply::Status::conflict) {
+    void when_settled(const StoreReply& r, std::function<void()> over) {
+        if (r.status == StoreReply::Status::ok || r.status == StoreReply::Status::conflict) {
             when_at(r.revision, std::move(over));
         } else {
             over();
@@ -188,7 +190,7 @@
     std::uint64_t next_id_ = 0;
     std::map<std::uint64_t, StateDone> state_done_;
     std::map<std::uint64_t, CloudDone> cloud_done_;
-    std::map<std::uint64_t, OrderDone> order_done_;
+    std::map<std::uint64_t, WorkerCommandDone> worker_command_done_;
     std::map<std::uint64_t, PeerDone> peer_done_;
     std::multimap<Revision, std::function<void()>> waiting_;
 };
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -107,17 +107,17 @@
     }
 }
 
-void Controller::state_reply(Now now, std::uint64_t id, const StateReply& reply) {
+void Controller::store_reply(Now now, std::uint64_t id, const StoreReply& reply) {
     ctx_.now = now;
     membership_.on_reply(id, reply);
-    ctx_.state_reply(id, reply);
+    ctx_.store_reply(id, reply);
     membership_.on_copy_advanced();
 }
 
 std::vector<Action> Controller::take() {
     auto out = std::exchange(ctx_.out, {});
     for (const auto& action : out) {
-        if (const auto* call = std::get_if<StateCall>(&action)) {
+        if (const auto* call = std::get_if<StoreCall>(&action)) {
             membership_.on_request_sent(*call);
         }
     }
@@ -129,9 +129,9 @@
     ctx_.cloud_reply(id, reply);
 }
 
-void Controller::order_reply(Now now, std::uint64_t id, const OrderReply& reply) {
+void Controller::worker_command_reply(Now now, std::uint64_t id, const WorkerCommandReply& reply) {
     ctx_.now = now;
-    ctx_.order_reply(id, reply);
+    ctx_.worker_command_reply(id, reply);
 }
 
 void Controller::peer_reply(Now now, std::uint64_t id, bool answered,
--- a/src/core/controller/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -41,9 +41,9 @@
     void report(Now now, std::uint64_t request, const Heartbeat& report, bool relayed);
     void peer_message(Now now, const std::string& peer, const PeerCall& message);
 
-    void state_reply(Now now, std::uint64_t id, const StateReply& reply);
+    void store_reply(Now now, std::uint64_t id, const StoreReply& reply);
     void cloud_reply(Now now, std::uint64_t id, const CloudReply& reply);
-    void order_reply(Now now, std::uint64_t id, const OrderReply& reply);
+    void worker_command_reply(Now now, std::uint64_t id, const WorkerCommandReply& reply);
     void peer_reply(Now now, std::uint64_t id, bool answered,
                     const std::optional<WorkerReply>& reply);
 
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -177,7 +177,7 @@
             txn.conditions = {ctx_.epoch_condition(), {key, doubt.revision}};
             txn.writes = {{key, encode(sheet)}};
             writes_in_flight_.insert(key);
-            ctx_.txn(std::move(txn), [this, key = key](const StateReply& r) {
+            ctx_.txn(std::move(txn), [this, key = key](const StoreReply& r) {
                 ctx_.when_settled(r, [this, key] { writes_in_flight_.erase(key); });
             });
         }
@@ -189,7 +189,7 @@
 }
 
 void BatchedClaims::write(std::vector<Entry> entries, Txn txn,
-                          std::function<void(const StateReply&)> on_reply) {
+                          std::function<void(const StoreReply&)> on_reply) {
     Condition where = next_record();
     Sheet sheet;
     append_live_entries(where.key, sheet);
@@ -202,9 +202,9 @@
     writes_in_flight_.insert(where.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
     ctx_.txn(std::move(txn),
-             [this, where, epoch, on_reply = std::move(on_reply)](const StateReply& r) {
+             [this, where, epoch, on_reply = std::move(on_reply)](const StoreReply& r) {
                  ctx_.when_settled(r, [this, key = where.key] { writes_in_flight_.erase(key); });
-                 if (r.status == StateReply::Status::unknown) {
+                 if (r.status == StoreReply::Status::unknown) {
                      UnknownOutcome& doubt = unknown_outcomes_[where.key];
                      doubt.revision = where.revision;
                      doubt.epoch = epoch;
@@ -249,7 +249,7 @@
         return;
     }
     retire_in_flight_ = true;
-    ctx_.txn(std::move(txn), [this](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { retire_in_flight_ = false; });
     });
 }
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -44,7 +44,7 @@
     /// is called only once the write has been applied or can no longer be, and until then no other
     /// record takes the same claims.
     void write(std::vector<Entry> entries, Txn txn,
-               std::function<void(const StateReply&)> on_reply);
+               std::function<void(const StoreReply&)> on_reply);
     /// Resolves writes with an unknown outcome and deletes records that nobody needs any more.
     /// Called once per controller tick.
     void tick();
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -176,12 +176,12 @@
         // followed it.
         look_ups_.take(1);
         reading_.insert(other);
-        StateCall call;
-        call.kind = StateCall::Kind::get;
+        StoreCall call;
+        call.kind = StoreCall::Kind::get;
         call.key = keys::finished(other);
-        ctx_.state(call, [this, other, uid](const StateReply& r) {
+        ctx_.state(call, [this, other, uid](const StoreReply& r) {
             reading_.erase(other);
-            if (r.status == StateReply::Status::ok) {
+            if (r.status == StoreReply::Status::ok) {
                 moved_[other] = decode_finished(r.value).cancelled ? End::cancelled : End::done;
                 look_.insert(uid);
                 tick();
@@ -208,7 +208,7 @@
     txn.writes = {{keys::job(uid), encode(record)}};
     writing_.insert(uid);
     ctx_.info("job {}: all that it follows is done", uid);
-    ctx_.txn(std::move(txn), [this, uid](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, uid](const StoreReply& r) {
         ctx_.when_settled(r, [this, uid] { writing_.erase(uid); });
     });
 }
@@ -246,7 +246,7 @@
         }
         txn.conditions.push_back(ctx_.epoch_condition());
         ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::first}),
-                 [this, names](const StateReply& r) {
+                 [this, names](const StoreReply& r) {
                      ctx_.when_settled(r, [this, names] {
                          for (const auto& uid : names) {
                              writing_.erase(uid);
@@ -299,7 +299,7 @@
         }
     }
     if (!txn.writes.empty()) {
-        ctx_.txn(std::move(txn), [](const StateReply&) {});
+        ctx_.txn(std::move(txn), [](const StoreReply&) {});
     }
 }
 
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -65,7 +65,7 @@
             }
         }
         completions_in_flight_.insert(uid);
-        ctx_.txn(txn, [this, uid = uid](const StateReply& r) {
+        ctx_.txn(txn, [this, uid = uid](const StoreReply& r) {
             ctx_.when_settled(r, [this, uid] { completions_in_flight_.erase(uid); });
         });
     }
@@ -152,7 +152,7 @@
         txn.writes.push_back({key, std::move(value)});
     }
     archive_in_flight_ = true;
-    ctx_.txn(txn, [this](const StateReply& r) {
+    ctx_.txn(txn, [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { archive_in_flight_ = false; });
     });
 }
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -71,7 +71,7 @@
     ctx_.info("job {}: its blocks are too large, parted into pages of {} tasks", job.spec.uid,
               record.page_size);
     parting_.insert(job.spec.uid);
-    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& r) {
         ctx_.when_settled(r, [this, uid] { parting_.erase(uid); });
     });
 }
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -16,20 +16,20 @@
     grant();
 }
 
-void Membership::on_request_sent(const StateCall& call) {
-    bool names_revision = call.kind == StateCall::Kind::txn || call.kind == StateCall::Kind::list ||
-                          call.kind == StateCall::Kind::watch;
+void Membership::on_request_sent(const StoreCall& call) {
+    bool names_revision = call.kind == StoreCall::Kind::txn || call.kind == StoreCall::Kind::list ||
+                          call.kind == StoreCall::Kind::watch;
     if (names_revision) {
         safe_time_.on_request_sent(call.id, ctx_.now.steady);
     }
 }
 
-void Membership::on_reply(std::uint64_t call_id, const StateReply& reply) {
+void Membership::on_reply(std::uint64_t call_id, const StoreReply& reply) {
     bool names_revision =
-        reply.status == StateReply::Status::ok || reply.status == StateReply::Status::conflict;
+        reply.status == StoreReply::Status::ok || reply.status == StoreReply::Status::conflict;
     safe_time_.on_reply(call_id, names_revision ? reply.revision : 0);
-    if (reply.status != StateReply::Status::refused &&
-        reply.status != StateReply::Status::unknown) {
+    if (reply.status != StoreReply::Status::refused &&
+        reply.status != StoreReply::Status::unknown) {
         last_contact_ = ctx_.now.steady;
     }
 }
@@ -46,12 +46,12 @@
         ctx_.whole = false;
     }
     loading_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::list;
+    StoreCall call;
+    call.kind = StoreCall::Kind::list;
     call.key = keys::live;
     call.after = after;
-    ctx_.state(call, [this, base](const StateReply& r) {
-        if (r.status != StateReply::Status::ok) {
+    ctx_.state(call, [this, base](const StoreReply& r) {
+        if (r.status != StoreReply::Status::ok) {
             loading_ = false;
             retry_at_ = ctx_.now.steady + constants::retry_state_s;
             return;
@@ -79,21 +79,21 @@
 void Membership::watch() {
     watching_ = true;
     ++watch_;
-    StateCall call;
-    call.kind = StateCall::Kind::watch;
+    StoreCall call;
+    call.kind = StoreCall::Kind::watch;
     call.key = keys::live;
     call.since = ctx_.jobs.revision();
-    ctx_.state(call, [this, number = watch_](const StateReply& r) {
+    ctx_.state(call, [this, number = watch_](const StoreReply& r) {
         if (number != watch_) {
             return;  // another one was opened instead
         }
         watching_ = false;
-        if (r.status == StateReply::Status::compacted) {
+        if (r.status == StoreReply::Status::compacted) {
             ctx_.info("watch: fell behind, reading everything again");
             load("", 0);
             return;
         }
-        if (r.status != StateReply::Status::ok) {
+        if (r.status != StoreReply::Status::ok) {
             retry_at_ = ctx_.now.steady + constants::retry_state_s;
             return;
         }
@@ -156,11 +156,11 @@
         return;
     }
     granting_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::grant;
-    ctx_.state(call, [this](const StateReply& r) {
+    StoreCall call;
+    call.kind = StoreCall::Kind::grant;
+    ctx_.state(call, [this](const StoreReply& r) {
         granting_ = false;
-        if (r.status == StateReply::Status::ok) {
+        if (r.status == StoreReply::Status::ok) {
             lease_ = r.lease;
             next_renew_ = ctx_.now.steady + constants::renew_every_s;
             join();
@@ -170,12 +170,12 @@
 
 void Membership::renew() {
     renewing_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::renew;
+    StoreCall call;
+    call.kind = StoreCall::Kind::renew;
     call.lease = lease_;
-    ctx_.state(call, [this, lease = lease_](const StateReply& r) {
+    ctx_.state(call, [this, lease = lease_](const StoreReply& r) {
         renewing_ = false;
-        if (r.status == StateReply::Status::not_found && lease == lease_) {
+        if (r.status == StoreReply::Status::not_found && lease == lease_) {
             ctx_.info("lease {} ended", lease);
             lease_ = 0;
             grant();
@@ -221,17 +221,17 @@
         txn.writes.push_back(
             {keys::version(ctx_.settings.name), Json{{"name", me.name}, {"level", level_now}}});
     }
-    ctx_.txn(txn, [this](const StateReply& r) {
+    ctx_.txn(txn, [this](const StoreReply& r) {
         auto again = [this] {
             joining_ = false;
             join();
         };
         switch (r.status) {
-            case StateReply::Status::ok:
-            case StateReply::Status::conflict:
+            case StoreReply::Status::ok:
+            case StoreReply::Status::conflict:
                 ctx_.when_at(r.revision, again);
                 break;
-            case StateReply::Status::bad:
+            case StoreReply::Status::bad:
                 // The lease ended meanwhile.
                 joining_ = false;
                 lease_ = 0;
@@ -280,7 +280,7 @@
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(next)}};
     ctx_.txn(txn,
-             [this](const StateReply& r) { ctx_.when_settled(r, [this] { removing_ = false; }); });
+             [this](const StoreReply& r) { ctx_.when_settled(r, [this] { removing_ = false; }); });
 }
 
 void Membership::tick() {
@@ -323,9 +323,9 @@
     Txn txn;
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition()};
-    ctx_.txn(txn, [this](const StateReply& r) {
+    ctx_.txn(txn, [this](const StoreReply& r) {
         requesting_safe_time_ = false;
-        if (r.status != StateReply::Status::ok && r.status != StateReply::Status::conflict) {
+        if (r.status != StoreReply::Status::ok && r.status != StoreReply::Status::conflict) {
             retry_at_ = std::max(retry_at_, ctx_.now.steady + constants::retry_state_s);
         }
     });
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -22,9 +22,9 @@
                       const std::optional<LeaseHeartbeat>& lease);
     // Every call to the key-value store as it goes out; calls whose reply names the store's
     // revision (compare-and-swap, list, watch) count towards the safe time.
-    void on_request_sent(const StateCall& call);
+    void on_request_sent(const StoreCall& call);
     // The reply to call `call_id`; any reply but refused or unknown proves contact with the store.
-    void on_reply(std::uint64_t call_id, const StateReply& reply);
+    void on_reply(std::uint64_t call_id, const StoreReply& reply);
     // After a reply was applied to the copy: the revision the copy has reached moves the safe time.
     void on_copy_advanced();
 
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -44,7 +44,7 @@
     std::size_t spared = 0;  // writes that it makes unnecessary
 };
 
-struct StateCall {
+struct StoreCall {
     enum class Kind { txn, get, list, watch, grant, renew };
     std::uint64_t id = 0;
     Kind kind = Kind::txn;
@@ -61,7 +61,7 @@
     Revision revision = 0;
 };
 
-struct StateReply {
+struct StoreReply {
     enum class Status {
         ok,
         conflict,   // a condition did not hold
@@ -122,7 +122,7 @@
 
 // Commands sent to a worker's own address; without commands it raises the token. An agent
 // epoch of 0 asks for the status only.
-struct OrderCall {
+struct WorkerCommandCall {
     std::uint64_t id = 0;
     std::string machine;
     std::string address;
@@ -131,7 +131,7 @@
     std::vector<Command> commands;
 };
 
-struct OrderReply {
+struct WorkerCommandReply {
     bool answered = false;
     bool executed = false;
     std::optional<Heartbeat> heartbeat;
@@ -183,7 +183,7 @@
     std::string text;
 };
 
-using Action =
-    std::variant<StateCall, CloudCall, UserReply, WorkerReply, OrderCall, PeerCall, LogLine>;
+using Action = std::variant<StoreCall, CloudCall, UserReply, WorkerReply, WorkerCommandCall,
+                            PeerCall, LogLine>;
 
 }  // namespace cranemoor::core
--- a/src/core/overload/overload_detector.cpp
+++ b/src/core/overload/overload_detector.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-void OverloadDetector::ended(std::uint64_t id, StateReply::Status status, double now) {
+void OverloadDetector::ended(std::uint64_t id, StoreReply::Status status, double now) {
     auto it = open_.find(id);
     if (it == open_.end()) {
         return;
@@ -30,8 +30,8 @@
         took_s_ += constants::pressure_smooth * (now - o.since - took_s_);
     }
     written_[static_cast<std::size_t>(o.purpose)] += o.writes;
-    lost_ += status == StateReply::Status::conflict ? 1 : 0;
-    refused_ += status == StateReply::Status::refused ? 1 : 0;
+    lost_ += status == StoreReply::Status::conflict ? 1 : 0;
+    refused_ += status == StoreReply::Status::refused ? 1 : 0;
     double passed = std::max(0.0, now - rate_at_);
     rate_ = rate_ * std::exp(-passed / constants::pressure_rate_s) +
             static_cast<double>(o.writes + o.spared) / constants::pressure_rate_s;
--- a/src/core/overload/overload_detector.hpp
+++ b/src/core/overload/overload_detector.hpp
@@ -13,7 +13,7 @@
 class OverloadDetector {
   public:
     void began(std::uint64_t id, const Txn& txn, double now);
-    void ended(std::uint64_t id, StateReply::Status status, double now);
+    void ended(std::uint64_t id, StoreReply::Status status, double now);
 
     // s that a change waits for its answer: of those that work waits for, the age of the oldest on
     // its way, or what they took lately if that is more
--- a/src/core/requests/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -228,9 +228,9 @@
     auto batch = std::exchange(queued_, {});
     Txn txn;
     txn.conditions = {ctx_.epoch_condition()};
-    ctx_.txn(txn, [this, batch](const StateReply& r) {
+    ctx_.txn(txn, [this, batch](const StoreReply& r) {
         --checks_open_;
-        bool ok = r.status == StateReply::Status::ok || r.status == StateReply::Status::conflict;
+        bool ok = r.status == StoreReply::Status::ok || r.status == StoreReply::Status::conflict;
         if (!ok) {
             for (auto request : batch) {
                 if (auto it = open_.find(request); it != open_.end()) {
@@ -265,18 +265,18 @@
         return;
     }
     look_ups_.take(1);
-    StateCall call;
-    call.kind = StateCall::Kind::get;
+    StoreCall call;
+    call.kind = StoreCall::Kind::get;
     call.key = keys::finished(uid);
-    ctx_.state(call, [this, request, uid, then = std::move(then)](const StateReply& r) {
+    ctx_.state(call, [this, request, uid, then = std::move(then)](const StoreReply& r) {
         if (!take(request)) {
             return;
         }
-        if (r.status == StateReply::Status::ok) {
+        if (r.status == StoreReply::Status::ok) {
             Finished f = decode_finished(r.value);
             remember(uid, f);
             then(&f);
-        } else if (r.status == StateReply::Status::not_found) {
+        } else if (r.status == StoreReply::Status::not_found) {
             then(nullptr);
         } else {
             busy(request, uid);
@@ -506,7 +506,7 @@
                 {keys::accepted(ctx_.me.id, ++accepted_records_), encode_listing(std::move(jobs))});
         }
         ++accepts_open_;
-        ctx_.txn(std::move(txn), [this, batch = std::move(batch)](const StateReply& r) {
+        ctx_.txn(std::move(txn), [this, batch = std::move(batch)](const StoreReply& r) {
             --accepts_open_;
             accepted(batch, r);
             write_accepted();
@@ -561,8 +561,8 @@
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition(), {key, ctx_.jobs.revision_of(key)}};
     txn.writes = {{key, encode_follows(parts[n])}};
-    ctx_.txn(std::move(txn), [this, a, parts = std::move(parts)](const StateReply& r) {
-        if (r.status != StateReply::Status::ok) {
+    ctx_.txn(std::move(txn), [this, a, parts = std::move(parts)](const StoreReply& r) {
+        if (r.status != StoreReply::Status::ok) {
             for (auto request : a->requests) {
                 if (take(request)) {
                     busy(request, a->spec.uid);
@@ -576,13 +576,13 @@
     });
 }
 
-void Requests::accepted(const std::vector<Acceptance>& batch, const StateReply& r) {
-    if (r.status == StateReply::Status::ok) {
+void Requests::accepted(const std::vector<Acceptance>& batch, const StoreReply& r) {
+    if (r.status == StoreReply::Status::ok) {
         accepted_.emplace_back(ctx_.now.steady, batch.size());
     }
     for (const auto& a : batch) {
         const auto& uid = a.spec.uid;
-        if (r.status == StateReply::Status::ok) {
+        if (r.status == StoreReply::Status::ok) {
             // Until the copy shows it, a second submission is looked up afresh.
             on_way_.insert(uid);
             ctx_.when_at(r.revision, [this, uid] { on_way_.erase(uid); });
@@ -594,9 +594,9 @@
             if (!take(request)) {
                 continue;
             }
-            if (r.status == StateReply::Status::ok) {
+            if (r.status == StoreReply::Status::ok) {
                 answer_accepted(request, a);
-            } else if (r.status != StateReply::Status::conflict) {
+            } else if (r.status != StoreReply::Status::conflict) {
                 busy(request, uid);
             } else {
                 ctx_.when_at(r.revision, [this, request, a] {
@@ -688,8 +688,8 @@
         txn.conditions.push_back({keys::block(uid, 0), b.revision});
         txn.writes = {{keys::block(uid, 0), encode(b)}};
     }
-    ctx_.txn(txn, [this, request, uid, tries, when](const StateReply& r) {
-        if (r.status == StateReply::Status::ok) {
+    ctx_.txn(txn, [this, request, uid, tries, when](const StoreReply& r) {
+        if (r.status == StoreReply::Status::ok) {
             ctx_.info("job {}: cancelled", uid);
             // Guards against the state service's end just now: the watch may never tell of it.
             membership_.note_cancelled(uid, when);
@@ -697,9 +697,9 @@
         if (!take(request)) {
             return;
         }
-        if (r.status == StateReply::Status::ok && membership_.may_confirm_cancellations()) {
+        if (r.status == StoreReply::Status::ok && membership_.may_confirm_cancellations()) {
             reply(request, 200, uid, "cancelled");
-        } else if (r.status == StateReply::Status::conflict) {
+        } else if (r.status == StoreReply::Status::conflict) {
             ctx_.when_at(r.revision, [this, request, uid, tries] {
                 if (take(request)) {
                     do_cancel(request, uid, tries - 1);
--- a/src/core/requests/requests.hpp
+++ b/src/core/requests/requests.hpp
@@ -103,7 +103,7 @@
                     std::vector<std::vector<std::string>> parts);
     void accept(std::uint64_t request, const JobSpec& spec, int tries, bool cancelled = false);
     void write_accepted();
-    void accepted(const std::vector<Acceptance>& batch, const StateReply& reply);
+    void accepted(const std::vector<Acceptance>& batch, const StoreReply& reply);
     void answer_accepted(std::uint64_t request, const Acceptance& a);
     void accept_again(std::uint64_t request, const JobSpec& spec, int tries, bool cancelled);
     void do_cancel(std::uint64_t request, const std::string& uid, int tries);
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -114,7 +114,7 @@
     next_refresh_s_ = ctx_.now.steady + constants::table_every_s;
     ctx_.info("admission table {}: records {}", next.number,
               next.shared ? "shared, writes are short" : "by block again");
-    ctx_.txn(std::move(txn), [this](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { write_in_flight_ = false; });
     });
 }
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -130,7 +130,7 @@
     open.in_flight.target = ClaimTarget::block_record;
     hold_replies(open.in_flight);
     ctx_.txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
-                                      const StateReply& reply) { settle(in_flight, reply); });
+                                      const StoreReply& reply) { settle(in_flight, reply); });
 }
 
 void ClaimWriter::send_batched_claims() {
@@ -148,7 +148,7 @@
     hold_replies(open.in_flight);
     ++batched_in_flight_;
     batched_claims_.write(std::move(open.entries), std::move(open.txn),
-                          [this, in_flight = std::move(open.in_flight)](const StateReply& reply) {
+                          [this, in_flight = std::move(open.in_flight)](const StoreReply& reply) {
                               settle(in_flight, reply);
                           });
 }
@@ -165,8 +165,8 @@
     }
 }
 
-void ClaimWriter::settle(const InFlight& in_flight, const StateReply& reply) {
-    using Status = StateReply::Status;
+void ClaimWriter::settle(const InFlight& in_flight, const StoreReply& reply) {
+    using Status = StoreReply::Status;
     if (reply.status == Status::ok || reply.status == Status::conflict) {
         if (reply.status == Status::conflict) {
             ctx_.debug("claims lost to other changes of {}", fmt::join(reply.failed, ","));
--- a/src/core/scheduling/claim_writer.hpp
+++ b/src/core/scheduling/claim_writer.hpp
@@ -97,7 +97,7 @@
     void take_claim(OpenTransaction& open, const Job& job, Claim claim,
                     const std::vector<std::string>& machines, int tasks);
     void hold_replies(InFlight& in_flight);
-    void settle(const InFlight& in_flight, const StateReply& reply);
+    void settle(const InFlight& in_flight, const StoreReply& reply);
     void release_quota(const InFlight& in_flight);
     void finish(const InFlight& in_flight);
     bool is_undecided(const Claim& claim) const;
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -25,8 +25,8 @@
       back_(loop, settings.back, c::back_connections,
             [this](std::uint64_t r, HttpMessage&& m) { serve_back(r, std::move(m)); }),
       state_(loop, settings,
-             [this](std::uint64_t id, const core::StateReply& r) {
-                 controller_.state_reply(loop_.now(), id, r);
+             [this](std::uint64_t id, const core::StoreReply& r) {
+                 controller_.store_reply(loop_.now(), id, r);
                  act();
              }),
       cloud_(loop, settings,
@@ -150,7 +150,7 @@
     }
 }
 
-void Gateway::act(const core::StateCall& call) {
+void Gateway::act(const core::StoreCall& call) {
     state_.call(call);
 }
 
@@ -167,19 +167,19 @@
     return *client;
 }
 
-void Gateway::act(const core::OrderCall& call) {
+void Gateway::act(const core::WorkerCommandCall& call) {
     bool status = call.agent_epoch == 0;
     worker(call.address)
         .request(status ? "GET" : "POST", status ? "/status" : "/orders",
                  status ? "" : wire::encode_worker_commands(call), c::order_timeout_s,
                  [this, id = call.id](const HttpMessage* m) {
-                     core::OrderReply reply;
+                     core::WorkerCommandReply reply;
                      if (m != nullptr) {
                          reply.answered = true;
                          reply.executed = m->status == 200;
                          reply.heartbeat = wire::decode_heartbeat_body(m->body).to_optional();
                      }
-                     controller_.order_reply(loop_.now(), id, reply);
+                     controller_.worker_command_reply(loop_.now(), id, reply);
                      act();
                  });
 }
--- a/src/io/gateway.hpp
+++ b/src/io/gateway.hpp
@@ -26,9 +26,9 @@
     void act();  // carries out what the core returned
     void act(const core::UserReply& reply);
     void act(const core::WorkerReply& reply);
-    void act(const core::StateCall& call);
+    void act(const core::StoreCall& call);
     void act(const core::CloudCall& call);
-    void act(const core::OrderCall& call);
+    void act(const core::WorkerCommandCall& call);
     void act(const core::PeerCall& call);
     void act(const core::LogLine& line);
     void prune();
--- a/src/io/state_client.cpp
+++ b/src/io/state_client.cpp
@@ -19,10 +19,10 @@
       reopened_(s.state_rps * c::watch_share, c::watch_burst),
       timer_(loop, [this] { pump(); }) {}
 
-void StateClient::call(core::StateCall call) {
+void StateClient::call(core::StoreCall call) {
     Waiting w;
     w.deadline = loop_.now().steady + c::state_timeout_s;
-    if (call.kind == core::StateCall::Kind::watch) {
+    if (call.kind == core::StoreCall::Kind::watch) {
         w.deadline = 1e18;  // waits for its budget as long as it must
     }
     w.call = std::move(call);
@@ -35,7 +35,7 @@
 // before its equals.
 void StateClient::enqueue(Waiting w) {
     auto rank = [](const Waiting& x) {
-        return x.call.kind == core::StateCall::Kind::txn ? static_cast<int>(x.call.txn.urgency)
+        return x.call.kind == core::StoreCall::Kind::txn ? static_cast<int>(x.call.txn.urgency)
                                                          : -1;
     };
     auto at = std::find_if(queue_.begin(), queue_.end(), [&](const Waiting& x) {
@@ -52,13 +52,13 @@
     bool short_of_writes = false;
     for (std::size_t i = 0; i < queue_.size();) {
         Waiting& w = queue_[i];
-        bool watch = w.call.kind == core::StateCall::Kind::watch;
+        bool watch = w.call.kind == core::StoreCall::Kind::watch;
         auto writes = static_cast<double>(w.call.txn.writes.size());
         if (w.deadline <= t) {
             auto id = w.call.id;
             queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(i));
-            core::StateReply refused;
-            refused.status = core::StateReply::Status::refused;  // never sent
+            core::StoreReply refused;
+            refused.status = core::StoreReply::Status::refused;  // never sent
             done_(id, refused);
             pump();
             return;
@@ -90,7 +90,7 @@
 
 void StateClient::send(const Waiting& w) {
     auto request = wire::store_request(w.call);
-    bool watch = w.call.kind == core::StateCall::Kind::watch;
+    bool watch = w.call.kind == core::StoreCall::Kind::watch;
     HttpClient& client = watch ? watches_ : calls_;
     double timeout = watch ? c::watch_hold_ms / 1000.0 + c::watch_grace_s : c::state_timeout_s;
     client.request(request.method, request.target, request.body, timeout,
@@ -104,7 +104,7 @@
                            pump();
                            return;
                        }
-                       core::StateReply reply;
+                       core::StoreReply reply;
                        if (m != nullptr) {
                            reply = wire::decode_store_reply(w.call, m->status, m->body);
                        }
--- a/src/io/state_client.hpp
+++ b/src/io/state_client.hpp
@@ -12,13 +12,13 @@
 
 class StateClient {
   public:
-    using Done = std::function<void(std::uint64_t id, const core::StateReply&)>;
+    using Done = std::function<void(std::uint64_t id, const core::StoreReply&)>;
     StateClient(Loop& loop, const core::Settings& settings, Done done);
-    void call(core::StateCall call);
+    void call(core::StoreCall call);
 
   private:
     struct Waiting {
-        core::StateCall call;
+        core::StoreCall call;
         double deadline = 0;
         double not_before = 0;
         int tries = 0;
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -18,7 +18,7 @@
 
 // --- requests
 
-HttpRequest list_request(const StateCall& call) {
+HttpRequest list_request(const StoreCall& call) {
     std::string target = "/kv?under=" + percent_encode(call.key);
     if (!call.after.empty()) {
         target += "&from=" + percent_encode(call.after);
@@ -26,7 +26,7 @@
     return {"GET", target + "&most=" + std::to_string(constants::list_page), ""};
 }
 
-HttpRequest watch_request(const StateCall& call) {
+HttpRequest watch_request(const StoreCall& call) {
     return {"GET",
             "/follow?under=" + percent_encode(call.key) + "&from=" + std::to_string(call.since) +
                 "&hold_ms=" + std::to_string(constants::watch_hold_ms),
@@ -80,27 +80,27 @@
     return count;
 }
 
-StateReply::Status reply_status(int http_status) {
+StoreReply::Status reply_status(int http_status) {
     switch (http_status) {
         case 200:
-            return StateReply::Status::ok;
+            return StoreReply::Status::ok;
         case 409:
-            return StateReply::Status::conflict;
+            return StoreReply::Status::conflict;
         case 404:
-            return StateReply::Status::not_found;
+            return StoreReply::Status::not_found;
         case 410:
-            return StateReply::Status::compacted;
+            return StoreReply::Status::compacted;
         case 429:
         case 503:
-            return StateReply::Status::refused;
+            return StoreReply::Status::refused;
         case 400:
-            return StateReply::Status::bad;
+            return StoreReply::Status::bad;
         default:
-            return StateReply::Status::unknown;
+            return StoreReply::Status::unknown;
     }
 }
 
-void read_items(Json& map, StateReply& reply) {
+void read_items(Json& map, StoreReply& reply) {
     reply.more = map.at("has_next").get<bool>();
     for (auto& item : map.at("items")) {
         reply.events.push_back({item.at("key").get<std::string>(), std::move(item.at("value")),
@@ -120,7 +120,7 @@
     return event;
 }
 
-void read_events(Json& map, StateReply& reply) {
+void read_events(Json& map, StoreReply& reply) {
     for (auto& each : map.at("log")) {
         reply.events.push_back(read_event(each));
     }
@@ -129,35 +129,35 @@
 }
 
 // The part of a successful reply that depends on the call. Throws if it can't be read.
-void read_result(StateCall::Kind kind, Json& map, StateReply& reply) {
+void read_result(StoreCall::Kind kind, Json& map, StoreReply& reply) {
     switch (kind) {
-        case StateCall::Kind::get:
+        case StoreCall::Kind::get:
             reply.value = std::move(map.at("value"));
             break;
-        case StateCall::Kind::list:
+        case StoreCall::Kind::list:
             read_items(map, reply);
             break;
-        case StateCall::Kind::watch:
+        case StoreCall::Kind::watch:
             read_events(map, reply);
             break;
-        case StateCall::Kind::grant:
+        case StoreCall::Kind::grant:
             reply.lease = read_count(map, "tether");
             break;
-        case StateCall::Kind::renew:
-        case StateCall::Kind::txn:
+        case StoreCall::Kind::renew:
+        case StoreCall::Kind::txn:
             break;
     }
 }
 
 // Throws if the reply can't be read.
-StateReply read_reply(StateCall::Kind kind, int http_status, Json& map) {
-    StateReply reply;
+StoreReply read_reply(StoreCall::Kind kind, int http_status, Json& map) {
+    StoreReply reply;
     reply.status = reply_status(http_status);
     reply.revision = map.contains("tide") ? read_count(map, "tide") : 0;
-    if (reply.status == StateReply::Status::conflict) {
+    if (reply.status == StoreReply::Status::conflict) {
         reply.failed = map.value("failed", std::vector<std::string>());
     }
-    if (reply.status == StateReply::Status::ok) {
+    if (reply.status == StoreReply::Status::ok) {
         read_result(kind, map, reply);
     }
     return reply;
@@ -165,26 +165,26 @@
 
 }  // namespace
 
-HttpRequest store_request(const StateCall& call) {
+HttpRequest store_request(const StoreCall& call) {
     switch (call.kind) {
-        case StateCall::Kind::get:
+        case StoreCall::Kind::get:
             return {"GET", "/kv/" + percent_encode(call.key), ""};
-        case StateCall::Kind::list:
+        case StoreCall::Kind::list:
             return list_request(call);
-        case StateCall::Kind::watch:
+        case StoreCall::Kind::watch:
             return watch_request(call);
-        case StateCall::Kind::grant:
+        case StoreCall::Kind::grant:
             return {"POST", "/grants", encode_cbor({{"ttl_ms", constants::member_lease_ms}})};
-        case StateCall::Kind::renew:
+        case StoreCall::Kind::renew:
             return {"POST", "/grants/" + std::to_string(call.lease) + "/touch",
                     encode_cbor(Json::object())};
-        case StateCall::Kind::txn:
+        case StoreCall::Kind::txn:
             break;
     }
     return transaction_request(call.txn);
 }
 
-StateReply decode_store_reply(const StateCall& call, int status, const std::string& body) {
+StoreReply decode_store_reply(const StoreCall& call, int status, const std::string& body) {
     auto decoded = decode_cbor_map(body);
     Json map = decoded ? std::move(*decoded) : Json::object();
     try {
--- a/src/wire/store_messages.hpp
+++ b/src/wire/store_messages.hpp
@@ -10,11 +10,11 @@
 namespace cranemoor::wire {
 
 /// The HTTP request that carries out a call to the key-value store.
-HttpRequest store_request(const core::StateCall& call);
+HttpRequest store_request(const core::StoreCall& call);
 
 /// Decodes the answer to `call`. An answer that can't be read gives `Status::unknown`: it says
 /// nothing about whether the call was executed. Events come out in order of revision.
-core::StateReply decode_store_reply(const core::StateCall& call, int status,
+core::StoreReply decode_store_reply(const core::StoreCall& call, int status,
                                     const std::string& body);
 
 }  // namespace cranemoor::wire
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -168,7 +168,7 @@
     return encode_cbor(map);
 }
 
-std::string encode_worker_commands(const OrderCall& call) {
+std::string encode_worker_commands(const WorkerCommandCall& call) {
     return encode_cbor({{"crest", call.token},
                         {"perch", call.agent_epoch},
                         {"calls", encode_commands(call.commands)}});
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -26,7 +26,7 @@
 std::string encode_worker_reply(const core::WorkerReply& reply);
 
 /// Encodes the body of a call to a worker ("POST /orders").
-std::string encode_worker_commands(const core::OrderCall& call);
+std::string encode_worker_commands(const core::WorkerCommandCall& call);
 
 /// Decodes a list of commands to tasks.
 Decoded<std::vector<core::Command>> decode_commands(const Json& list);
--- a/tests/fake_key_value_store.cpp
+++ b/tests/fake_key_value_store.cpp
@@ -17,15 +17,15 @@
 }
 }  // namespace
 
-StateReply FakeKeyValueStore::execute(const StateCall& call) {
+StoreReply FakeKeyValueStore::execute(const StoreCall& call) {
     switch (call.kind) {
-        case StateCall::Kind::grant:
+        case StoreCall::Kind::grant:
             return grant_lease();
-        case StateCall::Kind::renew:
+        case StoreCall::Kind::renew:
             return renew_lease(call.lease);
-        case StateCall::Kind::get:
+        case StoreCall::Kind::get:
             return get(call.key);
-        case StateCall::Kind::list:
+        case StoreCall::Kind::list:
             return list(call.key, call.after);
         default:
             return commit(call.txn);
@@ -36,40 +36,40 @@
     return simulation_.now() + constants::member_lease_ms / 1000.0;
 }
 
-StateReply FakeKeyValueStore::grant_lease() {
-    StateReply reply;
-    reply.status = StateReply::Status::ok;
+StoreReply FakeKeyValueStore::grant_lease() {
+    StoreReply reply;
+    reply.status = StoreReply::Status::ok;
     reply.lease = ++last_lease_;
     lease_ends_[reply.lease] = new_lease_end();
     return reply;
 }
 
-StateReply FakeKeyValueStore::renew_lease(std::uint64_t lease) {
-    StateReply reply;
+StoreReply FakeKeyValueStore::renew_lease(std::uint64_t lease) {
+    StoreReply reply;
     auto end = lease_ends_.find(lease);
     if (end == lease_ends_.end()) {
-        reply.status = StateReply::Status::not_found;
+        reply.status = StoreReply::Status::not_found;
         return reply;
     }
-    reply.status = StateReply::Status::ok;
+    reply.status = StoreReply::Status::ok;
     end->second = new_lease_end();
     return reply;
 }
 
-StateReply FakeKeyValueStore::get(const std::string& key) const {
-    StateReply reply;
+StoreReply FakeKeyValueStore::get(const std::string& key) const {
+    StoreReply reply;
     reply.revision = revision_;
     const Json* value = find(key);
-    reply.status = value == nullptr ? StateReply::Status::not_found : StateReply::Status::ok;
+    reply.status = value == nullptr ? StoreReply::Status::not_found : StoreReply::Status::ok;
     if (value != nullptr) {
         reply.value = *value;
     }
     return reply;
 }
 
-StateReply FakeKeyValueStore::list(const std::string& prefix, const std::string& after) const {
-    StateReply reply;
-    reply.status = StateReply::Status::ok;
+StoreReply FakeKeyValueStore::list(const std::string& prefix, const std::string& after) const {
+    StoreReply reply;
+    reply.status = StoreReply::Status::ok;
     reply.revision = revision_;
     for (auto it = records_.upper_bound(std::max(prefix, after)); it != records_.end(); ++it) {
         if (!has_prefix(it->first, prefix)) {
@@ -84,21 +84,21 @@
     return reply;
 }
 
-StateReply FakeKeyValueStore::commit(const Txn& txn) {
-    StateReply reply;
+StoreReply FakeKeyValueStore::commit(const Txn& txn) {
+    StoreReply reply;
     if (!is_well_formed(txn)) {
-        reply.status = StateReply::Status::bad;
+        reply.status = StoreReply::Status::bad;
         return reply;
     }
     reply.failed = failed_conditions(txn);
     if (!reply.failed.empty()) {
-        reply.status = StateReply::Status::conflict;
+        reply.status = StoreReply::Status::conflict;
         reply.revision = revision_;
         conflicting_transactions.push_back(txn);
         return reply;
     }
     apply(txn);
-    reply.status = StateReply::Status::ok;
+    reply.status = StoreReply::Status::ok;
     reply.revision = revision_;
     return reply;
 }
--- a/tests/fake_key_value_store.hpp
+++ b/tests/fake_key_value_store.hpp
@@ -22,7 +22,7 @@
         : simulation_(simulation), settings_(settings), invariants_(invariants) {}
 
     /// Executes anything but a watch.
-    StateReply execute(const StateCall& call);
+    StoreReply execute(const StoreCall& call);
     /// Ends leases that ran out, with their keys; while the store is down all are extended.
     void expire_leases(bool store_down);
     /// Changes of controllers' keys after a revision, oldest first.
@@ -67,11 +67,11 @@
         std::uint64_t lease = 0;  // 0: none
     };
 
-    StateReply grant_lease();
-    StateReply renew_lease(std::uint64_t lease);
-    StateReply get(const std::string& key) const;
-    StateReply list(const std::string& prefix, const std::string& after) const;
-    StateReply commit(const Txn& txn);
+    StoreReply grant_lease();
+    StoreReply renew_lease(std::uint64_t lease);
+    StoreReply get(const std::string& key) const;
+    StoreReply list(const std::string& prefix, const std::string& after) const;
+    StoreReply commit(const Txn& txn);
     bool is_well_formed(const Txn& txn);
     bool is_well_formed(const Write& write);
     std::vector<std::string> failed_conditions(const Txn& txn) const;
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -218,9 +218,9 @@
         ASSERT_TRUE(again);
         EXPECT_EQ(wire::encode_heartbeat(*again).dump(), passed.dump());
     }
-    using SK = core::StateCall::Kind;
+    using SK = core::StoreCall::Kind;
     for (auto kind : {SK::get, SK::list, SK::txn, SK::watch, SK::grant, SK::renew}) {
-        core::StateCall call;
+        core::StoreCall call;
         call.kind = kind;
         for (int status : {200, 400, 404, 409, 410, 429, 503}) {
             wire::decode_store_reply(call, status, body);
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -170,16 +170,16 @@
     void perform(int node, const Action& action);
 
     // Calls of a controller to the fakes, and their replies.
-    void send(int node, const StateCall& call);
+    void send(int node, const StoreCall& call);
     void send(int node, const CloudCall& call);
-    void send(int node, const OrderCall& call);
+    void send(int node, const WorkerCommandCall& call);
     void send(int node, const PeerCall& call);
     void send(const WorkerReply& reply);
     void log_reply(int node, const UserReply& reply);
-    void reply_to_store_call(int node, int generation, std::uint64_t id, const StateReply& reply);
+    void reply_to_store_call(int node, int generation, std::uint64_t id, const StoreReply& reply);
     void relay_heartbeat(int node, int generation, const PeerCall& call, Controller& relaying);
     bool reaches_worker(int node, const FakeWorker& worker) const;
-    bool execute_direct_call(const OrderCall& call);
+    bool execute_direct_call(const WorkerCommandCall& call);
     void serve_watches();
     void serve_watch(Watch watch);
 
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -49,11 +49,11 @@
 }
 
 void SimulatedCluster::perform(int node, const Action& action) {
-    if (const auto* store_call = std::get_if<StateCall>(&action)) {
+    if (const auto* store_call = std::get_if<StoreCall>(&action)) {
         send(node, *store_call);
     } else if (const auto* cloud_call = std::get_if<CloudCall>(&action)) {
         send(node, *cloud_call);
-    } else if (const auto* direct_call = std::get_if<OrderCall>(&action)) {
+    } else if (const auto* direct_call = std::get_if<WorkerCommandCall>(&action)) {
         send(node, *direct_call);
     } else if (const auto* peer_call = std::get_if<PeerCall>(&action)) {
         send(node, *peer_call);
@@ -75,13 +75,13 @@
 
 // --- key-value store
 
-void SimulatedCluster::send(int node, const StateCall& call) {
+void SimulatedCluster::send(int node, const StoreCall& call) {
     int generation = at(node).generation;
-    if (call.kind == StateCall::Kind::watch) {
+    if (call.kind == StoreCall::Kind::watch) {
         watches_.push_back({node, generation, call.id, call.since, now() + watch_s});
         return;
     }
-    bool is_txn = call.kind == StateCall::Kind::txn;
+    bool is_txn = call.kind == StoreCall::Kind::txn;
     double hold_s = is_txn && faults.transaction_hold_s ? faults.transaction_hold_s(call.txn) : 0;
     bool is_late =
         hold_s > 0 || (is_txn && simulation.chance(faults.delayed_transaction_probability));
@@ -97,12 +97,12 @@
         wait_s += is_txn && faults.transaction_delay_s ? faults.transaction_delay_s(call.txn) : 0;
     }
     simulation.after(wait_s, [=, this] {
-        StateReply reply;
+        StoreReply reply;
         bool is_refused =
             faults.store_down || faults.nodes_refused_by_store.count(node) != 0 ||
             (is_txn && faults.refuse_transaction && faults.refuse_transaction(call.txn));
         if (is_refused) {
-            reply.status = StateReply::Status::refused;
+            reply.status = StoreReply::Status::refused;
         } else {
             reply = store.execute(call);
         }
@@ -114,15 +114,15 @@
     });
     if (is_lost) {
         simulation.after(call_timeout_s, [=, this] {
-            reply_to_store_call(node, generation, call.id, StateReply{});
+            reply_to_store_call(node, generation, call.id, StoreReply{});
         });
     }
 }
 
 void SimulatedCluster::reply_to_store_call(int node, int generation, std::uint64_t id,
-                                           const StateReply& reply) {
+                                           const StoreReply& reply) {
     deliver(node, generation,
-            [=, this](Controller& controller) { controller.state_reply(time(), id, reply); });
+            [=, this](Controller& controller) { controller.store_reply(time(), id, reply); });
 }
 
 void SimulatedCluster::serve_watches() {
@@ -137,9 +137,9 @@
 // Answers a watch that has news or whose time has run out, and keeps any other open.
 void SimulatedCluster::serve_watch(Watch watch) {
     bool is_refused = faults.nodes_refused_by_store.count(watch.node) != 0;
-    StateReply reply;
+    StoreReply reply;
     if (watch.since < store.compacted_revision() && !is_refused) {
-        reply.status = StateReply::Status::compacted;
+        reply.status = StoreReply::Status::compacted;
         simulation.after(simulation.message_delay(), [=, this] {
             reply_to_store_call(watch.node, watch.generation, watch.id, reply);
         });
@@ -151,7 +151,7 @@
         watches_.push_back(watch);
         return;
     }
-    reply.status = StateReply::Status::ok;
+    reply.status = StoreReply::Status::ok;
     reply.revision = store.revision();
     reply.events = std::move(news);
     simulation.after(faults.store_reply_delay_s + simulation.message_delay(), [=, this] {
@@ -189,7 +189,7 @@
 }
 
 // False if the fencing token or the session is not the worker's.
-bool SimulatedCluster::execute_direct_call(const OrderCall& call) {
+bool SimulatedCluster::execute_direct_call(const WorkerCommandCall& call) {
     FakeWorker& worker = machines[call.address];
     if (call.agent_epoch == 0 || call.token < worker.fencing_token ||
         call.agent_epoch != worker.session) {
@@ -202,10 +202,10 @@
     return true;
 }
 
-void SimulatedCluster::send(int node, const OrderCall& call) {
+void SimulatedCluster::send(int node, const WorkerCommandCall& call) {
     int generation = at(node).generation;
     simulation.after(simulation.message_delay(), [=, this] {
-        OrderReply reply;
+        WorkerCommandReply reply;
         auto it = machines.find(call.address);
         bool is_connected = it != machines.end() && reaches_worker(node, it->second);
         bool is_answered = is_connected && !it->second.is_hung;
@@ -219,7 +219,7 @@
         double wait_s = is_answered ? simulation.message_delay() : call_timeout_s;
         simulation.after(wait_s, [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
-                controller.order_reply(time(), call.id, reply);
+                controller.worker_command_reply(time(), call.id, reply);
             });
         });
     });
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -13,8 +13,8 @@
 
 using core::Json;
 
-core::StateCall change(std::uint64_t id, std::size_t writes, core::Urgency urgency) {
-    core::StateCall call;
+core::StoreCall change(std::uint64_t id, std::size_t writes, core::Urgency urgency) {
+    core::StoreCall call;
     call.id = id;
     call.txn.urgency = urgency;
     for (std::size_t i = 0; i < writes; ++i) {
@@ -38,8 +38,8 @@
         server.reply(r, 200, wire::encode_cbor({{"tide", 1}}));
     });
     std::size_t answered = 0;
-    io::StateClient client(loop, settings, [&](std::uint64_t, const core::StateReply& r) {
-        EXPECT_EQ(r.status, core::StateReply::Status::ok);
+    io::StateClient client(loop, settings, [&](std::uint64_t, const core::StoreReply& r) {
+        EXPECT_EQ(r.status, core::StoreReply::Status::ok);
         if (++answered == 8) {
             loop.stop();
         }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -218,11 +218,11 @@
 }
 
 TEST(Wire, StateAnswersByStatus) {
-    StateCall txn;
+    StoreCall txn;
     auto status = [&](int code, const Json& body) {
         return decode_store_reply(txn, code, encode_cbor(body)).status;
     };
-    using S = StateReply::Status;
+    using S = StoreReply::Status;
     EXPECT_EQ(status(200, {{"tide", 432}}), S::ok);
     EXPECT_EQ(status(409, {{"failed", {"a/b"}}, {"tide", 431}}), S::conflict);
     EXPECT_EQ(status(404, {{"tide", 1}}), S::not_found);
@@ -231,8 +231,8 @@
     EXPECT_EQ(status(503, Json::object()), S::refused);
     EXPECT_EQ(status(400, {{"error", "no such lease"}}), S::bad);
     EXPECT_EQ(status(500, Json::object()), S::unknown);
-    StateCall watch;
-    watch.kind = StateCall::Kind::watch;
+    StoreCall watch;
+    watch.kind = StoreCall::Kind::watch;
     auto r =
         decode_store_reply(watch, 200,
                            encode_cbor({{"tide", 433},
@@ -261,8 +261,8 @@
 }
 
 TEST(Wire, TargetsAreEscaped) {
-    StateCall list;
-    list.kind = StateCall::Kind::list;
+    StoreCall list;
+    list.kind = StoreCall::Kind::list;
     list.key = "c/";
     list.after = "c/q/a%20b";
     EXPECT_EQ(store_request(list).target, "/kv?under=c/&from=c/q/a%2520b&most=1000");
