--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -24,7 +24,7 @@
              [this](std::uint64_t r, HttpMessage&& m) { serve(r, std::move(m)); }),
       back_(loop, settings.back, c::back_connections,
             [this](std::uint64_t r, HttpMessage&& m) { serve_back(r, std::move(m)); }),
-      state_(loop, settings,
+      store_(loop, settings,
              [this](std::uint64_t id, const core::StoreReply& r) {
                  controller_.store_reply(loop_.now(), id, r);
                  act();
@@ -151,7 +151,7 @@
 }
 
 void Gateway::act(const core::StoreCall& call) {
-    state_.call(call);
+    store_.call(call);
 }
 
 void Gateway::act(const core::CloudCall& call) {
--- a/src/io/gateway.hpp
+++ b/src/io/gateway.hpp
@@ -11,7 +11,7 @@
 #include "io/http_client.hpp"
 #include "io/http_server.hpp"
 #include "io/loop.hpp"
-#include "io/state_client.hpp"
+#include "io/store_client.hpp"
 
 namespace cranemoor::io {
 
@@ -39,7 +39,7 @@
     core::Controller& controller_;
     HttpServer front_;
     HttpServer back_;
-    StateClient state_;
+    StoreClient store_;
     CloudClient cloud_;
     std::map<std::string, std::unique_ptr<HttpClient>> peers_;
     std::map<std::string, std::unique_ptr<HttpClient>> workers_;
--- a/tests/state_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,5 +1,5 @@
-// The order in which changes go to the state service, against a stand-in on loopback.
-#include "io/state_client.hpp"
+// The order in which changes go to the key-value store, against a stand-in on loopback.
+#include "io/store_client.hpp"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     return call;
 }
 
-TEST(StateClient, UrgentChangesGoFirstAndLargeOnesGoOut) {
+TEST(StoreClient, UrgentChangesGoFirstAndLargeOnesGoOut) {
     // Found in the desks' troubles: releases were repeated for half a minute, since the record of
     // their success, of several changes, never found enough left of the budget.
     io::Loop loop;
@@ -38,7 +38,7 @@
         server.reply(r, 200, wire::encode_cbor({{"tide", 1}}));
     });
     std::size_t answered = 0;
-    io::StateClient client(loop, settings, [&](std::uint64_t, const core::StoreReply& r) {
+    io::StoreClient client(loop, settings, [&](std::uint64_t, const core::StoreReply& r) {
         EXPECT_EQ(r.status, core::StoreReply::Status::ok);
         if (++answered == 8) {
             loop.stop();
