--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -138,7 +138,7 @@
     // With 503 the connection is closed: the load balancer then picks a node anew.
     bool busy = r.status == 503;
     front_.reply(r.request, r.status, wire::encode_user_reply(r), busy ? r.retry_after_s : 0, busy,
-                 sockets::Asker::user);
+                 sockets::ClientKind::user);
 }
 
 void Gateway::act(const core::WorkerReply& r) {
@@ -146,7 +146,7 @@
         back_.reply(r.request, 200, wire::encode_peer_reply(r));
     } else {
         front_.reply(r.request, r.status, wire::encode_worker_reply(r), 0, false,
-                     sockets::Asker::worker);
+                     sockets::ClientKind::worker);
     }
 }
 
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -167,7 +167,7 @@
 }
 
 void HttpServer::reply(std::uint64_t request, int status, const std::string& body,
-                       int retry_after_s, bool close, sockets::Asker asker) {
+                       int retry_after_s, bool close, sockets::ClientKind client) {
     auto it = requests_.find(request);
     if (it == requests_.end()) {
         return;  // the asker has gone
@@ -179,10 +179,10 @@
         return;
     }
     Connection& c = *found->second;
-    auto standing = sockets::standing(asker);
-    c.rank = standing.rank;
+    auto policy = sockets::shed_policy(client);
+    c.rank = policy.rank;
     bool keep =
-        c.keep_alive && !close && sockets::keeps(standing, connections_.size(), connections_max_);
+        c.keep_alive && !close && sockets::keep_open(policy, connections_.size(), connections_max_);
     c.out += http_response(status, body, keep, retry_after_s);
     c.request = 0;
     c.closing = !keep;
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -30,7 +30,7 @@
 
     // Requests carry ids that are unique within the process.
     void reply(std::uint64_t request, int status, const std::string& body, int retry_after_s = 0,
-               bool close = false, sockets::Asker asker = sockets::Asker::nobody);
+               bool close = false, sockets::ClientKind client = sockets::ClientKind::unknown);
     bool knows(std::uint64_t request) const { return requests_.count(request) != 0; }
     std::size_t connections() const { return connections_.size(); }
 
@@ -46,7 +46,7 @@
         double active = 0;    // when bytes last went either way
         double since = 0;     // when the request that is still to come whole began
         bool partial = true;  // such a one is awaited: it has begun, or is the first
-        int rank = 0;         // of its last answer, see sockets::Standing
+        int rank = 0;         // of its last answer, see sockets::ShedPolicy
         bool idle = false;    // answered, and nothing new has begun
     };
 
--- a/src/sockets/connection_shedding.cpp
+++ b/src/sockets/connection_shedding.cpp
@@ -4,20 +4,22 @@
 
 namespace cranemoor::sockets {
 
-Standing standing(Asker asker) {
-    switch (asker) {
-        case Asker::worker:
-            return {2, core::constants::workers_keep_share};
-        case Asker::user:
-            return {1, core::constants::users_keep_share};
-        case Asker::nobody:
+namespace constants = core::constants;
+
+ShedPolicy shed_policy(ClientKind client) {
+    switch (client) {
+        case ClientKind::worker:
+            return {2, constants::workers_keep_share};
+        case ClientKind::user:
+            return {1, constants::users_keep_share};
+        case ClientKind::unknown:
             break;
     }
-    return {0, core::constants::users_keep_share};
+    return {0, constants::users_keep_share};
 }
 
-bool keeps(const Standing& standing, std::size_t taken, std::size_t most) {
-    return static_cast<double>(taken) < standing.keep_below * static_cast<double>(most);
+bool keep_open(const ShedPolicy& policy, std::size_t open, std::size_t limit) {
+    return static_cast<double>(open) < policy.keep_below * static_cast<double>(limit);
 }
 
 }  // namespace cranemoor::sockets
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -56,7 +56,7 @@
         bool worker = m.target == "/hello";
         // With half of them taken a user's connection ends with its answer: the first is kept.
         server.reply(request, 200, "", 0, false,
-                     worker ? sockets::Asker::worker : sockets::Asker::user);
+                     worker ? sockets::ClientKind::worker : sockets::ClientKind::user);
     });
     std::vector<std::unique_ptr<HttpClient>> clients;
     int answered = 0;
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -6,18 +6,18 @@
 namespace cranemoor::sockets {
 namespace {
 
-TEST(Standing, WorkersKeepTheirsLongestAndGoLast) {
-    auto nobody = standing(Asker::nobody);
-    auto user = standing(Asker::user);
-    auto worker = standing(Asker::worker);
-    EXPECT_LT(nobody.rank, user.rank);
+TEST(ConnectionShedding, WorkersKeepTheirsLongestAndGoLast) {
+    auto unknown = shed_policy(ClientKind::unknown);
+    auto user = shed_policy(ClientKind::user);
+    auto worker = shed_policy(ClientKind::worker);
+    EXPECT_LT(unknown.rank, user.rank);
     EXPECT_LT(user.rank, worker.rank);
     constexpr std::size_t most = 2000;
     for (std::size_t taken = 0; taken <= most; ++taken) {
-        EXPECT_TRUE(!keeps(user, taken, most) || keeps(worker, taken, most));
+        EXPECT_TRUE(!keep_open(user, taken, most) || keep_open(worker, taken, most));
     }
-    EXPECT_TRUE(keeps(user, 0, most));
-    EXPECT_FALSE(keeps(worker, most, most));  // a full house keeps nobody
+    EXPECT_TRUE(keep_open(user, 0, most));
+    EXPECT_FALSE(keep_open(worker, most, most));  // a full house keeps nobody
 }
 
 }  // namespace
