--- a/src/core/agents/agent_manager.cpp
+++ b/src/core/agents/agent_manager.cpp
@@ -21,7 +21,7 @@
       heartbeat_handler_(ctx, membership, registry_, replies_, reconciliation_, adoption_,
                          failure_detector_) {}
 
-void AgentManager::handle_heartbeat(std::uint64_t request, const Report& report, bool relayed) {
+void AgentManager::handle_heartbeat(std::uint64_t request, const Heartbeat& report, bool relayed) {
     heartbeat_handler_.handle(request, report, relayed);
 }
 
--- a/src/core/agents/agent_manager.hpp
+++ b/src/core/agents/agent_manager.hpp
@@ -36,7 +36,7 @@
                  BatchedClaims& batched_claims);
 
     /// Takes in one heartbeat of a worker; see HeartbeatHandler::handle().
-    void handle_heartbeat(std::uint64_t request, const Report& report, bool relayed);
+    void handle_heartbeat(std::uint64_t request, const Heartbeat& report, bool relayed);
     /// The membership epoch changed from `before`; see MachineAdoption::epoch_changed().
     void epoch_changed(const std::optional<Epoch>& before);
     /// The job records changed; `touched` holds the uids of the jobs that changed.
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -219,7 +219,7 @@
                   [&](const auto& entry) { return ctx_.jobs.placement(entry.first) == nullptr; });
 }
 
-bool AgentRegistry::is_stale(const Machine& machine, const Report& report) {
+bool AgentRegistry::is_stale(const Machine& machine, const Heartbeat& report) {
     return machine.heartbeat_received && std::tie(report.session, report.seq) <=
                                              std::tie(machine.agent_epoch, machine.heartbeat_seq);
 }
@@ -230,7 +230,7 @@
     machine.owned_since = ctx_.now.steady;
 }
 
-void AgentRegistry::apply_heartbeat(Machine& machine, const Report& report) {
+void AgentRegistry::apply_heartbeat(Machine& machine, const Heartbeat& report) {
     bool first = !machine.heartbeat_received;
     machine.room_known = false;
     machine.address = report.address;
--- a/src/core/agents/agent_registry.hpp
+++ b/src/core/agents/agent_registry.hpp
@@ -101,9 +101,9 @@
 
     /// Whether a heartbeat is no newer than the last one taken in from that machine: by agent
     /// epoch, then by sequence number.
-    static bool is_stale(const Machine& machine, const Report& report);
+    static bool is_stale(const Machine& machine, const Heartbeat& report);
     /// Takes in the contents of a heartbeat; the machine is ours from then on.
-    void apply_heartbeat(Machine& machine, const Report& report);
+    void apply_heartbeat(Machine& machine, const Heartbeat& report);
     /// Merges the cloud provider's listing of machines. Returns the names of the running machines
     /// that are newly ours: their fencing tokens are to be raised.
     std::vector<std::string> apply_cloud_listing(const std::vector<ListedMachine>& listing);
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -218,10 +218,10 @@
         return;
     }
     machine.probe_in_flight = true;
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = machine.name;
     call.address = machine.address;
-    ctx_.order(call, [this, name = machine.name](const OrderReply& reply) {
+    ctx_.worker_command(call, [this, name = machine.name](const WorkerCommandReply& reply) {
         Machine* machine = registry_.find(name);
         if (machine == nullptr) {
             return;
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -34,7 +34,7 @@
     job.add_block(0, next, txn);
     ctx_.blocks_in_flight.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
-    ctx_.txn(std::move(txn), [this, key](const StateReply& reply) {
+    ctx_.txn(std::move(txn), [this, key](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, key] { ctx_.blocks_in_flight.erase(key); });
     });
 }
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -11,7 +11,7 @@
 constexpr int status_unavailable = 503;  // no reply with commands; the worker tries again
 }  // namespace
 
-void HeartbeatHandler::handle(std::uint64_t request, const Report& report, bool relayed) {
+void HeartbeatHandler::handle(std::uint64_t request, const Heartbeat& report, bool relayed) {
     if (!membership_.may_answer_workers()) {
         reject(request, status_unavailable);
         return;
@@ -46,7 +46,7 @@
     accept(machine, request, report, relayed);
 }
 
-void HeartbeatHandler::accept(Machine& machine, std::uint64_t request, const Report& report,
+void HeartbeatHandler::accept(Machine& machine, std::uint64_t request, const Heartbeat& report,
                               bool relayed) {
     registry_.apply_heartbeat(machine, report);
     machine.last_heartbeat_at = ctx_.now.steady;
@@ -86,7 +86,7 @@
     ctx_.out.emplace_back(reply);
 }
 
-void HeartbeatHandler::redirect(std::uint64_t request, const Report& report, const Member* owner,
+void HeartbeatHandler::redirect(std::uint64_t request, const Heartbeat& report, const Member* owner,
                                 bool relayed) {
     if (owner == nullptr || relayed) {
         reject(request, status_misdirected);
@@ -112,7 +112,7 @@
     reject(request, status_misdirected, owner->name);
 }
 
-void HeartbeatHandler::relay(std::uint64_t request, const Report& report, const Member& owner) {
+void HeartbeatHandler::relay(std::uint64_t request, const Heartbeat& report, const Member& owner) {
     PeerCall call;
     call.peer = owner.name;
     call.state_contact = membership_.has_store_contact();
--- a/src/core/agents/heartbeat_handler.hpp
+++ b/src/core/agents/heartbeat_handler.hpp
@@ -35,7 +35,7 @@
     /// workers), 421 (newer fencing token, or another owner: redirect or relay), with 200 at once
     /// to a stale one, or holds the reply open until something is due. `relayed`: it came by way
     /// of a peer controller and is never passed on again.
-    void handle(std::uint64_t request, const Report& report, bool relayed);
+    void handle(std::uint64_t request, const Heartbeat& report, bool relayed);
     /// Drops what is known of redirects that were long ago.
     void forget_old_redirects();
 
@@ -47,11 +47,12 @@
         double first_at = never_s;
     };
 
-    void accept(Machine& machine, std::uint64_t request, const Report& report, bool relayed);
+    void accept(Machine& machine, std::uint64_t request, const Heartbeat& report, bool relayed);
     void reject(std::uint64_t request, int status, const std::string& home = "");
     void acknowledge_stale(std::uint64_t request);
-    void redirect(std::uint64_t request, const Report& report, const Member* owner, bool relayed);
-    void relay(std::uint64_t request, const Report& report, const Member& owner);
+    void redirect(std::uint64_t request, const Heartbeat& report, const Member* owner,
+                  bool relayed);
+    void relay(std::uint64_t request, const Heartbeat& report, const Member& owner);
 
     Context& ctx_;
     const Membership& membership_;
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -63,23 +63,24 @@
     if (machine.address.empty() || attempts == 0 || registry_.site(machine).mark) {
         return;
     }
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = machine.name;
     call.address = machine.address;
     call.token = ctx_.fencing_token;
     call.session = std::max<std::uint64_t>(machine.agent_epoch, 1);
     Token token = ctx_.fencing_token;
-    ctx_.order(call, [this, name = machine.name, token, attempts](const OrderReply& reply) {
-        Machine* machine = registry_.find(name);
-        if (machine == nullptr || !reply.report || !machine->owned_by_us ||
-            token != ctx_.fencing_token || machine->adopted) {
-            return;
-        }
-        on_token_reply(*machine, *reply.report, attempts);
-    });
+    ctx_.worker_command(
+        call, [this, name = machine.name, token, attempts](const WorkerCommandReply& reply) {
+            Machine* machine = registry_.find(name);
+            if (machine == nullptr || !reply.report || !machine->owned_by_us ||
+                token != ctx_.fencing_token || machine->adopted) {
+                return;
+            }
+            on_token_reply(*machine, *reply.report, attempts);
+        });
 }
 
-void MachineAdoption::on_token_reply(Machine& machine, const Report& report, int attempts) {
+void MachineAdoption::on_token_reply(Machine& machine, const Heartbeat& report, int attempts) {
     if (AgentRegistry::is_stale(machine, report)) {
         return;
     }
@@ -94,7 +95,7 @@
     reconciliation_.reconcile(machine, false);
 }
 
-void MachineAdoption::adopt_on_heartbeat(Machine& machine, const Report& report) {
+void MachineAdoption::adopt_on_heartbeat(Machine& machine, const Heartbeat& report) {
     if (report.token == ctx_.fencing_token && !machine.adopted) {
         machine.adopted = true;
         log_adopted(machine);
--- a/src/core/agents/machine_adoption.hpp
+++ b/src/core/agents/machine_adoption.hpp
@@ -41,10 +41,10 @@
     /// commands in all, if the machine's agent epoch proves to be another.
     void raise_token(Machine& machine, int attempts);
     /// Adopts the machine if this heartbeat shows that it has accepted our fencing token.
-    void adopt_on_heartbeat(Machine& machine, const Report& report);
+    void adopt_on_heartbeat(Machine& machine, const Heartbeat& report);
 
   private:
-    void on_token_reply(Machine& machine, const Report& report, int attempts);
+    void on_token_reply(Machine& machine, const Heartbeat& report, int attempts);
     void log_adopted(const Machine& machine);
 
     Context& ctx_;
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -239,7 +239,7 @@
     txn.urgency = deferrable ? Urgency::last : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, taken, written](const StateReply& reply) {
+    ctx_.txn(std::move(txn), [this, taken, written](const StoreReply& reply) {
         blocks_in_flight_ -= written.size();
         on_write_settled(reply, taken, written);
     });
@@ -247,7 +247,7 @@
 
 // Refused or unknown: the next tick tries again. If the first one is executed late, its conditions
 // fail or it says the same.
-void PendingTaskExits::on_write_settled(const StateReply& reply,
+void PendingTaskExits::on_write_settled(const StoreReply& reply,
                                         const std::vector<std::string>& taken,
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(reply, [this, taken, blocks] {
@@ -311,7 +311,7 @@
     ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
-    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StateReply& reply) {
+    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StoreReply& reply) {
         batched_write_in_flight_ = false;
         on_write_settled(reply, taken, written);
     });
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -51,7 +51,7 @@
         return;
     }
     batch.txn.conditions.push_back(ctx_.epoch_condition());
-    auto on_reply = [this, machines = std::exchange(batch.machines, {})](const StateReply& reply) {
+    auto on_reply = [this, machines = std::exchange(batch.machines, {})](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, machines] {
             for (const auto& name : machines) {
                 if (Machine* machine = registry_.find(name)) {
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -6,13 +6,13 @@
 
 void TaskStops::send(Machine& machine, const Attempt& attempt, Machine::PendingStop& stop) {
     stop.last_sent_at = ctx_.now.steady;
-    OrderCall call;
+    WorkerCommandCall call;
     call.machine = machine.name;
     call.address = machine.address;
     call.token = ctx_.fencing_token;
     call.session = machine.agent_epoch;
     call.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, stop.grace_s});
-    ctx_.order(call, [](const OrderReply&) {
+    ctx_.worker_command(call, [](const WorkerCommandReply&) {
         // The worker reports the change by itself within half a second.
     });
 }
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -116,8 +116,8 @@
         return;
     }
     // Unless it is written, the machines are released again, which does no harm.
-    ctx_.txn(txn, [this](const StateReply& reply) {
-        if (reply.status != StateReply::Status::ok) {
+    ctx_.txn(txn, [this](const StoreReply& reply) {
+        if (reply.status != StoreReply::Status::ok) {
             next_release_at_ = ctx_.now.steady + constants::retry_state_s;
         }
         ctx_.when_settled(reply, [this] { release_in_flight_ = false; });
@@ -126,8 +126,8 @@
 
 // A record that was written under a larger limit can't be put again with what is gone: that is
 // said by records beside it. A machine is gone if any of its marks says so.
-void MachineRelease::add_separate_marks(const CordonBatch& old, const std::set<std::string>& machines,
-                                        Txn& txn) {
+void MachineRelease::add_separate_marks(const CordonBatch& old,
+                                        const std::set<std::string>& machines, Txn& txn) {
     CordonBatch separate;
     separate.why = old.why;
     separate.fence = old.fence;
@@ -181,7 +181,7 @@
         return;
     }
     deletion_in_flight_ = true;
-    ctx_.txn(txn, [this](const StateReply& reply) {
+    ctx_.txn(txn, [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { deletion_in_flight_ = false; });
     });
 }
--- a/src/core/context/context.cpp
+++ b/src/core/context/context.cpp
@@ -37,23 +37,23 @@
 Context::Context(Settings the_settings, Tunables the_tunables, std::string the_boot_id)
     : settings(std::move(the_settings)), tunables(the_tunables), boot_id(std::move(the_boot_id)) {}
 
-void Context::state(StateCall call, StateCalls::Completion done) {
+void Context::state(StoreCall call, StoreCalls::Completion done) {
     call.id = ++next_id_;
     overload.began(call.id, call.txn, now.steady);
-    state_calls_.add(call.id, std::move(done));
+    store_calls_.add(call.id, std::move(done));
     out.emplace_back(std::move(call));
 }
 
-void Context::txn(Txn txn, StateCalls::Completion done) {
-    StateCall call;
-    call.kind = StateCall::Kind::txn;
+void Context::txn(Txn txn, StoreCalls::Completion done) {
+    StoreCall call;
+    call.kind = StoreCall::Kind::txn;
     call.txn = std::move(txn);
     // A refused transaction with a leased write speaks of an expired lease, not of its size.
     bool leased = has_leased_write(call.txn);
     auto largest = largest_value(call.txn);
     state(std::move(call), [this, largest = std::move(largest), leased,
-                            done = std::move(done)](const StateReply& reply) {
-        if (reply.status == StateReply::Status::bad && !leased) {
+                            done = std::move(done)](const StoreReply& reply) {
+        if (reply.status == StoreReply::Status::bad && !leased) {
             // Not to be repeated as it is. What was larger than the announced limits allow says
             // that they are in force.
             error("state service refuses a change of {} and others, {} bytes", largest.key,
@@ -70,9 +70,9 @@
     out.emplace_back(std::move(call));
 }
 
-void Context::order(OrderCall call, OrderCalls::Completion done) {
+void Context::worker_command(WorkerCommandCall call, WorkerCommandCalls::Completion done) {
     call.id = ++next_id_;
-    order_calls_.add(call.id, std::move(done));
+    worker_command_calls_.add(call.id, std::move(done));
     out.emplace_back(std::move(call));
 }
 
@@ -82,9 +82,9 @@
     out.emplace_back(std::move(call));
 }
 
-void Context::state_reply(std::uint64_t id, const StateReply& reply) {
+void Context::store_reply(std::uint64_t id, const StoreReply& reply) {
     overload.ended(id, reply.status, now.steady);
-    state_calls_.complete(id, reply);
+    store_calls_.complete(id, reply);
 }
 
 void Context::when_at(Revision revision, std::function<void()> then) {
@@ -95,8 +95,8 @@
     }
 }
 
-void Context::when_settled(const StateReply& reply, std::function<void()> then) {
-    if (reply.status == StateReply::Status::ok || reply.status == StateReply::Status::conflict) {
+void Context::when_settled(const StoreReply& reply, std::function<void()> then) {
+    if (reply.status == StoreReply::Status::ok || reply.status == StoreReply::Status::conflict) {
         when_at(reply.revision, std::move(then));
     } else {
         then();
--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -25,22 +25,22 @@
 /// Shared by all subsystems of one controller. Completions of calls in flight refer to it.
 class Context {
   public:
-    using StateCalls = PendingCalls<StateReply>;
+    using StoreCalls = PendingCalls<StoreReply>;
     using CloudCalls = PendingCalls<CloudReply>;
-    using OrderCalls = PendingCalls<OrderReply>;
+    using WorkerCommandCalls = PendingCalls<WorkerCommandReply>;
     using PeerCalls = PendingCalls<bool, std::optional<WorkerReply>>;
 
     /// `boot_id` tells this start of the process from every other one.
     Context(Settings settings, Tunables tunables, std::string boot_id);
 
     /// Sends a call to the key-value store; `done` gets its reply.
-    void state(StateCall call, StateCalls::Completion done);
+    void state(StoreCall call, StoreCalls::Completion done);
     /// Sends a compare-and-swap transaction to the key-value store; `done` gets its reply.
-    void txn(Txn txn, StateCalls::Completion done);
+    void txn(Txn txn, StoreCalls::Completion done);
     /// Sends a call to the cloud; `done` gets its reply.
     void cloud(CloudCall call, CloudCalls::Completion done);
     /// Sends commands to a worker's own address; `done` gets its reply.
-    void order(OrderCall call, OrderCalls::Completion done);
+    void worker_command(WorkerCommandCall call, WorkerCommandCalls::Completion done);
     /// Sends a message to another controller; `done` gets whether it answered, and the worker's
     /// reply if the message relayed a heartbeat.
     void peer(PeerCall call, PeerCalls::Completion done);
@@ -62,12 +62,12 @@
     }
 
     /// The replies to the calls sent; those to unknown ids are ignored.
-    void state_reply(std::uint64_t id, const StateReply& reply);
+    void store_reply(std::uint64_t id, const StoreReply& reply);
     void cloud_reply(std::uint64_t id, const CloudReply& reply) {
         cloud_calls_.complete(id, reply);
     }
-    void order_reply(std::uint64_t id, const OrderReply& reply) {
-        order_calls_.complete(id, reply);
+    void worker_command_reply(std::uint64_t id, const WorkerCommandReply& reply) {
+        worker_command_calls_.complete(id, reply);
     }
     void peer_reply(std::uint64_t id, bool answered, const std::optional<WorkerReply>& reply) {
         peer_calls_.complete(id, answered, reply);
@@ -77,7 +77,7 @@
     void when_at(Revision revision, std::function<void()> then);
     /// Runs `then` when a transaction is settled: once the replica shows what it or its rival
     /// wrote, or at once where nothing is known to have been written.
-    void when_settled(const StateReply& reply, std::function<void()> then);
+    void when_settled(const StoreReply& reply, std::function<void()> then);
     /// Runs what waited for a revision that the replica has reached by now.
     void run_waiting();
 
@@ -126,9 +126,9 @@
 
   private:
     std::uint64_t next_id_ = 0;
-    StateCalls state_calls_;
+    StoreCalls store_calls_;
     CloudCalls cloud_calls_;
-    OrderCalls order_calls_;
+    WorkerCommandCalls worker_command_calls_;
     PeerCalls peer_calls_;
     std::multimap<Revision, std::function<void()>> waiting_for_revision_;
     // A value that only the old limits allow was refused: the announced ones are in force.
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -48,7 +48,7 @@
     ctx_.info("job {}: its blocks are too large, parted into pages of {} tasks", job.spec.uid,
               record.page_size);
     splits_in_flight_.insert(job.spec.uid);
-    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StateReply& r) {
+    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& r) {
         ctx_.when_settled(r, [this, uid] { splits_in_flight_.erase(uid); });
     });
 }
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -88,19 +88,19 @@
         txn.writes.push_back(
             {keys::version(self.name), encode_level(self.name, current_feature_level)});
     }
-    ctx_.txn(std::move(txn), [this](const StateReply& reply) { on_join_reply(reply); });
+    ctx_.txn(std::move(txn), [this](const StoreReply& reply) { on_join_reply(reply); });
 }
 
-void LeaderElection::on_join_reply(const StateReply& reply) {
+void LeaderElection::on_join_reply(const StoreReply& reply) {
     switch (reply.status) {
-        case StateReply::Status::ok:
-        case StateReply::Status::conflict:
+        case StoreReply::Status::ok:
+        case StoreReply::Status::conflict:
             ctx_.when_at(reply.revision, [this] {
                 join_in_flight_ = false;
                 join();
             });
             break;
-        case StateReply::Status::bad:
+        case StoreReply::Status::bad:
             // The lease expired meanwhile.
             join_in_flight_ = false;
             lease_.replace();
@@ -152,7 +152,7 @@
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(survivors)}};
-    ctx_.txn(std::move(txn), [this](const StateReply& reply) {
+    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { removal_in_flight_ = false; });
     });
 }
--- a/src/core/membership/leader_election.hpp
+++ b/src/core/membership/leader_election.hpp
@@ -42,7 +42,7 @@
     bool has_joined() const;
     Epoch epoch_with_us() const;
     void write_joined_epoch(const Epoch& next);
-    void on_join_reply(const StateReply& reply);
+    void on_join_reply(const StoreReply& reply);
     bool is_our_turn_to_remove(const Epoch& survivors);
     void write_epoch_of_survivors(const Epoch& survivors);
 
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -32,9 +32,9 @@
     /// A message of `peer` (by name), whatever it carries.
     void on_peer_message(const std::string& peer, const PeerCall& message);
     /// Every call to the key-value store as it goes out.
-    void on_request_sent(const StateCall& call) { store_contact_.on_request_sent(call); }
+    void on_request_sent(const StoreCall& call) { store_contact_.on_request_sent(call); }
     /// The reply to call `call_id`, before it is applied.
-    void on_reply(std::uint64_t call_id, const StateReply& reply) {
+    void on_reply(std::uint64_t call_id, const StoreReply& reply) {
         store_contact_.on_reply(call_id, reply);
     }
     /// After a reply was applied to the replica.
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -25,17 +25,17 @@
         ctx_.replica_complete = false;
     }
     reading_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::list;
+    StoreCall call;
+    call.kind = StoreCall::Kind::list;
     call.key = keys::live;
     call.after = after;
-    ctx_.state(call, [this, first_page_revision](const StateReply& page) {
+    ctx_.state(call, [this, first_page_revision](const StoreReply& page) {
         on_page(page, first_page_revision);
     });
 }
 
-void ReplicaSync::on_page(const StateReply& page, Revision first_page_revision) {
-    if (page.status != StateReply::Status::ok) {
+void ReplicaSync::on_page(const StoreReply& page, Revision first_page_revision) {
+    if (page.status != StoreReply::Status::ok) {
         reading_ = false;
         store_contact_.delay_retries();
         return;
@@ -62,25 +62,25 @@
 void ReplicaSync::watch() {
     watching_ = true;
     ++watch_number_;
-    StateCall call;
-    call.kind = StateCall::Kind::watch;
+    StoreCall call;
+    call.kind = StoreCall::Kind::watch;
     call.key = keys::live;
     call.since = ctx_.jobs.revision();
-    ctx_.state(call, [this, number = watch_number_](const StateReply& reply) {
+    ctx_.state(call, [this, number = watch_number_](const StoreReply& reply) {
         if (number == watch_number_) {
             on_watch_reply(reply);
         }
     });
 }
 
-void ReplicaSync::on_watch_reply(const StateReply& reply) {
+void ReplicaSync::on_watch_reply(const StoreReply& reply) {
     watching_ = false;
-    if (reply.status == StateReply::Status::compacted) {
+    if (reply.status == StoreReply::Status::compacted) {
         ctx_.info("watch: fell behind, reading everything again");
         read_page("", 0);
         return;
     }
-    if (reply.status != StateReply::Status::ok) {
+    if (reply.status != StoreReply::Status::ok) {
         store_contact_.delay_retries();
         return;
     }
--- a/src/core/membership/replica_sync.hpp
+++ b/src/core/membership/replica_sync.hpp
@@ -32,9 +32,9 @@
 
   private:
     void read_page(const std::string& after, Revision first_page_revision);
-    void on_page(const StateReply& page, Revision first_page_revision);
+    void on_page(const StoreReply& page, Revision first_page_revision);
     void watch();
-    void on_watch_reply(const StateReply& reply);
+    void on_watch_reply(const StoreReply& reply);
 
     Context& ctx_;
     StoreContact& store_contact_;
--- a/src/core/membership/store_contact.cpp
+++ b/src/core/membership/store_contact.cpp
@@ -2,21 +2,21 @@
 
 namespace cranemoor::core {
 
-void StoreContact::on_request_sent(const StateCall& call) {
-    bool reply_names_revision = call.kind == StateCall::Kind::txn ||
-                                call.kind == StateCall::Kind::list ||
-                                call.kind == StateCall::Kind::watch;
+void StoreContact::on_request_sent(const StoreCall& call) {
+    bool reply_names_revision = call.kind == StoreCall::Kind::txn ||
+                                call.kind == StoreCall::Kind::list ||
+                                call.kind == StoreCall::Kind::watch;
     if (reply_names_revision) {
         safe_time_.on_request_sent(call.id, ctx_.now.steady);
     }
 }
 
-void StoreContact::on_reply(std::uint64_t call_id, const StateReply& reply) {
+void StoreContact::on_reply(std::uint64_t call_id, const StoreReply& reply) {
     bool names_revision =
-        reply.status == StateReply::Status::ok || reply.status == StateReply::Status::conflict;
+        reply.status == StoreReply::Status::ok || reply.status == StoreReply::Status::conflict;
     safe_time_.on_reply(call_id, names_revision ? reply.revision : 0);
-    if (reply.status != StateReply::Status::refused &&
-        reply.status != StateReply::Status::unknown) {
+    if (reply.status != StoreReply::Status::refused &&
+        reply.status != StoreReply::Status::unknown) {
         last_reply_s_ = ctx_.now.steady;
     }
 }
@@ -38,10 +38,10 @@
     Txn txn;
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition()};
-    ctx_.txn(txn, [this](const StateReply& reply) {
+    ctx_.txn(txn, [this](const StoreReply& reply) {
         requesting_safe_time_ = false;
-        if (reply.status != StateReply::Status::ok &&
-            reply.status != StateReply::Status::conflict) {
+        if (reply.status != StoreReply::Status::ok &&
+            reply.status != StoreReply::Status::conflict) {
             delay_retries();
         }
     });
--- a/src/core/membership/store_lease.cpp
+++ b/src/core/membership/store_lease.cpp
@@ -7,11 +7,11 @@
         return;
     }
     request_in_flight_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::grant;
-    ctx_.state(call, [this](const StateReply& reply) {
+    StoreCall call;
+    call.kind = StoreCall::Kind::grant;
+    ctx_.state(call, [this](const StoreReply& reply) {
         request_in_flight_ = false;
-        if (reply.status == StateReply::Status::ok) {
+        if (reply.status == StoreReply::Status::ok) {
             id_ = reply.lease;
             next_renewal_s_ = ctx_.now.steady + constants::renew_every_s;
             on_granted();
@@ -34,12 +34,12 @@
 
 void StoreLease::renew() {
     renewal_in_flight_ = true;
-    StateCall call;
-    call.kind = StateCall::Kind::renew;
+    StoreCall call;
+    call.kind = StoreCall::Kind::renew;
     call.lease = id_;
-    ctx_.state(call, [this, renewed_id = id_](const StateReply& reply) {
+    ctx_.state(call, [this, renewed_id = id_](const StoreReply& reply) {
         renewal_in_flight_ = false;
-        if (reply.status == StateReply::Status::not_found && renewed_id == id_) {
+        if (reply.status == StoreReply::Status::not_found && renewed_id == id_) {
             ctx_.info("lease {} ended", renewed_id);
             replace();
             on_expired();
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -44,7 +44,7 @@
     std::size_t spared = 0;  // writes that it makes unnecessary
 };
 
-struct StateCall {
+struct StoreCall {
     enum class Kind { txn, get, list, watch, grant, renew };
     std::uint64_t id = 0;
     Kind kind = Kind::txn;
@@ -61,7 +61,7 @@
     Revision revision = 0;
 };
 
-struct StateReply {
+struct StoreReply {
     enum class Status {
         ok,
         conflict,   // a condition did not hold
@@ -120,21 +120,21 @@
     std::vector<Command> commands;
 };
 
-// Commands sent to a worker's own address; without commands it raises the token. A session of 0
-// asks for the status only.
-struct OrderCall {
+// Commands sent to a worker's own address; without commands it raises the token. An agent
+// epoch of 0 asks for the status only.
+struct WorkerCommandCall {
     std::uint64_t id = 0;
     std::string machine;
     std::string address;
     Token token = 0;
-    std::uint64_t session = 0;
+    std::uint64_t agent_epoch = 0;
     std::vector<Command> commands;
 };
 
-struct OrderReply {
+struct WorkerCommandReply {
     bool answered = false;
     bool executed = false;
-    std::optional<Report> report;
+    std::optional<Heartbeat> heartbeat;
 };
 
 /// A launch request of the leader, as it tells its peers: still open, or what it launched.
@@ -143,8 +143,8 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    int count = 0;     ///< machines asked for
-    bool open = true;  ///< without a final answer of the provider yet
+    int count = 0;                      ///< machines asked for
+    bool open = true;                   ///< without a final answer of the provider yet
     std::vector<std::string> machines;  ///< once answered: the machines launched
 };
 
@@ -171,7 +171,7 @@
     std::uint64_t id = 0;
     std::string peer;
     bool state_contact = false;
-    std::optional<Report> relay;
+    std::optional<Heartbeat> relay;
     std::vector<LaunchNotice> launches;
     std::optional<PressureSample> pressure;
     std::optional<LeaseHeartbeat> lease;
@@ -183,7 +183,7 @@
     std::string text;
 };
 
-using Action =
-    std::variant<StateCall, CloudCall, UserReply, WorkerReply, OrderCall, PeerCall, LogLine>;
+using Action = std::variant<StoreCall, CloudCall, UserReply, WorkerReply, WorkerCommandCall,
+                            PeerCall, LogLine>;
 
 }  // namespace cranemoor::core
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -29,8 +29,8 @@
     }
     double cancelled_wall = std::max(1.0, ctx_.now.wall);  // 0 would mean not cancelled
     ctx_.txn(cancellation_txn(*job, cancelled_wall),
-             [this, request, uid, tries_left, cancelled_wall](const StateReply& reply) {
-                 if (reply.status == StateReply::Status::ok) {
+             [this, request, uid, tries_left, cancelled_wall](const StoreReply& reply) {
+                 if (reply.status == StoreReply::Status::ok) {
                      ctx_.info("job {}: cancelled", uid);
                      // Guards against an outage of the key-value store just now: the watch may
                      // never tell of it.
@@ -69,13 +69,13 @@
 }
 
 void CancellationHandler::on_written(RequestId request, const std::string& uid, int tries_left,
-                                     const StateReply& reply) {
+                                     const StoreReply& reply) {
     if (!open_requests_.is_open(request)) {
         return;
     }
-    if (reply.status == StateReply::Status::ok && membership_.may_confirm_cancellations()) {
+    if (reply.status == StoreReply::Status::ok && membership_.may_confirm_cancellations()) {
         open_requests_.answer(request, uid, {HttpStatus::ok, JobState::cancelled});
-    } else if (reply.status == StateReply::Status::conflict) {
+    } else if (reply.status == StoreReply::Status::conflict) {
         ctx_.when_at(reply.revision, [this, request, uid, tries_left] {
             if (open_requests_.is_open(request)) {
                 write_cancellation(request, uid, tries_left - 1);
--- a/src/core/requests/cancellation_handler.hpp
+++ b/src/core/requests/cancellation_handler.hpp
@@ -34,7 +34,7 @@
     void write_cancellation(RequestId request, const std::string& uid, int tries_left);
     Txn cancellation_txn(const Job& job, double cancelled_wall) const;
     void on_written(RequestId request, const std::string& uid, int tries_left,
-                    const StateReply& reply);
+                    const StoreReply& reply);
 
     Context& ctx_;
     Membership& membership_;
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -28,18 +28,18 @@
         return;
     }
     look_up_budget_.take(1);
-    StateCall call;
-    call.kind = StateCall::Kind::get;
+    StoreCall call;
+    call.kind = StoreCall::Kind::get;
     call.key = keys::finished(uid);
-    ctx_.state(call, [this, request, uid, found = std::move(found)](const StateReply& reply) {
+    ctx_.state(call, [this, request, uid, found = std::move(found)](const StoreReply& reply) {
         if (!open_requests_.is_open(request)) {
             return;
         }
-        if (reply.status == StateReply::Status::ok) {
+        if (reply.status == StoreReply::Status::ok) {
             Finished final_state = decode_finished(reply.value);
             remember(uid, final_state);
             found(&final_state);
-        } else if (reply.status == StateReply::Status::not_found) {
+        } else if (reply.status == StoreReply::Status::not_found) {
             found(nullptr);
         } else {
             open_requests_.reject_unavailable(request, uid);
--- a/src/core/requests/fresh_reads.cpp
+++ b/src/core/requests/fresh_reads.cpp
@@ -25,11 +25,11 @@
     auto batch = std::exchange(waiting_, {});
     Txn txn;
     txn.conditions = {ctx_.epoch_condition()};
-    ctx_.txn(txn, [this, batch](const StateReply& reply) {
+    ctx_.txn(txn, [this, batch](const StoreReply& reply) {
         --checks_in_flight_;
         // Of a conflict the revision is known as well.
-        if (reply.status != StateReply::Status::ok &&
-            reply.status != StateReply::Status::conflict) {
+        if (reply.status != StoreReply::Status::ok &&
+            reply.status != StoreReply::Status::conflict) {
             for (auto request : batch) {
                 open_requests_.reject_unavailable_if_open(request);
             }
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -22,7 +22,7 @@
       status_query_(status_query),
       submission_queue_(submission_queue),
       writer_(ctx, agents, open_requests, submission_queue,
-              [this](const SubmissionWriter::Batch& batch, const StateReply& reply) {
+              [this](const SubmissionWriter::Batch& batch, const StoreReply& reply) {
                   on_written(batch, reply);
               }) {}
 
@@ -157,8 +157,8 @@
     writer_.write_pending();
 }
 
-void SubmissionHandler::on_written(const SubmissionWriter::Batch& batch, const StateReply& reply) {
-    bool written = reply.status == StateReply::Status::ok;
+void SubmissionHandler::on_written(const SubmissionWriter::Batch& batch, const StoreReply& reply) {
+    bool written = reply.status == StoreReply::Status::ok;
     if (written) {
         submission_queue_.note_accepted(batch.size());
     }
@@ -183,10 +183,10 @@
 }
 
 void SubmissionHandler::answer_written(RequestId request, const PendingSubmission& submission,
-                                       const StateReply& reply) {
-    if (reply.status == StateReply::Status::ok) {
+                                       const StoreReply& reply) {
+    if (reply.status == StoreReply::Status::ok) {
         answer_accepted(request, submission);
-    } else if (reply.status != StateReply::Status::conflict) {
+    } else if (reply.status != StoreReply::Status::conflict) {
         open_requests_.reject_unavailable(request, submission.spec.uid);
     } else {
         ctx_.when_at(reply.revision,
--- a/src/core/requests/submission_handler.hpp
+++ b/src/core/requests/submission_handler.hpp
@@ -47,10 +47,10 @@
     void accept_dependent(RequestId request, const JobSpec& spec);
     bool is_cancelled(const std::string& uid) const;
     void accept(RequestId request, const JobSpec& spec, int tries_left, bool cancelled);
-    void on_written(const SubmissionWriter::Batch& batch, const StateReply& reply);
+    void on_written(const SubmissionWriter::Batch& batch, const StoreReply& reply);
     void note_accepted(const JobSpec& spec, Revision revision);
     void answer_written(RequestId request, const PendingSubmission& submission,
-                        const StateReply& reply);
+                        const StoreReply& reply);
     void answer_accepted(RequestId request, const PendingSubmission& submission);
     void accept_again(RequestId request, const PendingSubmission& submission);
 
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -35,7 +35,7 @@
         }
         ++writes_in_flight_;
         ctx_.txn(std::move(builder.txn),
-                 [this, batch = std::move(builder.batch)](const StateReply& reply) {
+                 [this, batch = std::move(builder.batch)](const StoreReply& reply) {
                      --writes_in_flight_;
                      on_written_(batch, reply);
                      write_pending();
@@ -166,8 +166,8 @@
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition(), {key, ctx_.jobs.revision_of(key)}};
     txn.writes = {{key, encode_follows(parts[written])}};
-    ctx_.txn(std::move(txn), [this, submission, parts = std::move(parts)](const StateReply& reply) {
-        if (reply.status != StateReply::Status::ok) {
+    ctx_.txn(std::move(txn), [this, submission, parts = std::move(parts)](const StoreReply& reply) {
+        if (reply.status != StoreReply::Status::ok) {
             for (auto request : submission->requests) {
                 if (open_requests_.is_open(request)) {
                     open_requests_.reject_unavailable(request, submission->spec.uid);
--- a/src/core/requests/submission_writer.hpp
+++ b/src/core/requests/submission_writer.hpp
@@ -19,7 +19,7 @@
   public:
     using Batch = std::vector<PendingSubmission>;
     /// Called with each batch and the key-value store's reply to its transaction.
-    using OnWritten = std::function<void(const Batch& batch, const StateReply& reply)>;
+    using OnWritten = std::function<void(const Batch& batch, const StoreReply& reply)>;
 
     SubmissionWriter(Context& ctx, const AgentRegistry& agents, OpenRequests& open_requests,
                      SubmissionQueue& submission_queue, OnWritten on_written)
--- a/tests/fake_worker.cpp
+++ b/tests/fake_worker.cpp
@@ -233,17 +233,17 @@
     return left;
 }
 
-Report FakeWorkers::make_heartbeat(FakeWorker& worker) {
-    Report heartbeat{worker.info.name,
-                     worker.info.name,
-                     "t8",
-                     worker.info.zone,
-                     worker.info.spot,
-                     worker.session,
-                     ++worker.seq,
-                     worker.fencing_token,
-                     worker.notice_s,
-                     {}};
+Heartbeat FakeWorkers::make_heartbeat(FakeWorker& worker) {
+    Heartbeat heartbeat{worker.info.name,
+                        worker.info.name,
+                        "t8",
+                        worker.info.zone,
+                        worker.info.spot,
+                        worker.session,
+                        ++worker.seq,
+                        worker.fencing_token,
+                        worker.notice_s,
+                        {}};
     for (const auto& [id, attempts] : worker.tasks) {
         for (const auto& [attempt, task] : attempts) {
             heartbeat.tasks.push_back({id, attempt, task.state, task.why, task.saved});
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -251,7 +251,7 @@
     // Of an earlier session, without the task: neither adopted by it nor a proof of anything.
     run_job(1, JobKind::service, 1, "a");
     ASSERT_EQ(owner_of("vm-50000a"), 0);
-    Report old{"vm-50000a", "vm-50000a", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    Heartbeat old{"vm-50000a", "vm-50000a", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
     cluster.kill(0);
     ASSERT_TRUE(cluster.run_until(
         [&] { return cluster.controller(1).context().jobs.epoch()->members.size() == 2; }, 10));
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -106,7 +106,7 @@
         return cloud.add_machine(name, zone, spot);
     }
     /// Sends a worker's heartbeat to a node, and waits for the reply.
-    WorkerReply send_heartbeat(int node, const Report& heartbeat);
+    WorkerReply send_heartbeat(int node, const Heartbeat& heartbeat);
     /// The heartbeats that were recorded reach every controller that runs now.
     void replay_recorded_heartbeats();
 
@@ -170,24 +170,24 @@
     void perform(int node, const Action& action);
 
     // Calls of a controller to the fakes, and their replies.
-    void send(int node, const StateCall& call);
+    void send(int node, const StoreCall& call);
     void send(int node, const CloudCall& call);
-    void send(int node, const OrderCall& call);
+    void send(int node, const WorkerCommandCall& call);
     void send(int node, const PeerCall& call);
     void send(const WorkerReply& reply);
     void log_reply(int node, const UserReply& reply);
-    void reply_to_store_call(int node, int generation, std::uint64_t id, const StateReply& reply);
+    void reply_to_store_call(int node, int generation, std::uint64_t id, const StoreReply& reply);
     void relay_heartbeat(int node, int generation, const PeerCall& call, Controller& relaying);
     bool reaches_worker(int node, const FakeWorker& worker) const;
-    bool execute_direct_call(const OrderCall& call);
+    bool execute_direct_call(const WorkerCommandCall& call);
     void serve_watches();
     void serve_watch(Watch watch);
 
     // Heartbeats of the workers.
     void step_workers();
     void send_heartbeat(FakeWorker& worker);
-    void deliver_heartbeat(const FakeWorker& worker, const Report& heartbeat);
-    void duplicate_heartbeat(int node, const Report& heartbeat);
+    void deliver_heartbeat(const FakeWorker& worker, const Heartbeat& heartbeat);
+    void duplicate_heartbeat(int node, const Heartbeat& heartbeat);
     void time_out_heartbeat(const std::string& machine, double sent_at, double timeout_s);
     void receive_worker_reply(const std::string& machine, std::uint64_t session, double sent_at,
                               int node, const WorkerReply& reply);
@@ -196,7 +196,7 @@
     std::vector<Node> nodes_;
     std::vector<Watch> watches_;
     std::map<std::uint64_t, std::function<void(const WorkerReply&)>> worker_reply_handlers_;
-    std::vector<Report> recorded_heartbeats_;
+    std::vector<Heartbeat> recorded_heartbeats_;
 };
 
 }  // namespace cranemoor::test
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -49,11 +49,11 @@
 }
 
 void SimulatedCluster::perform(int node, const Action& action) {
-    if (const auto* store_call = std::get_if<StateCall>(&action)) {
+    if (const auto* store_call = std::get_if<StoreCall>(&action)) {
         send(node, *store_call);
     } else if (const auto* cloud_call = std::get_if<CloudCall>(&action)) {
         send(node, *cloud_call);
-    } else if (const auto* direct_call = std::get_if<OrderCall>(&action)) {
+    } else if (const auto* direct_call = std::get_if<WorkerCommandCall>(&action)) {
         send(node, *direct_call);
     } else if (const auto* peer_call = std::get_if<PeerCall>(&action)) {
         send(node, *peer_call);
@@ -75,13 +75,13 @@
 
 // --- key-value store
 
-void SimulatedCluster::send(int node, const StateCall& call) {
+void SimulatedCluster::send(int node, const StoreCall& call) {
     int generation = at(node).generation;
-    if (call.kind == StateCall::Kind::watch) {
+    if (call.kind == StoreCall::Kind::watch) {
         watches_.push_back({node, generation, call.id, call.since, now() + watch_s});
         return;
     }
-    bool is_txn = call.kind == StateCall::Kind::txn;
+    bool is_txn = call.kind == StoreCall::Kind::txn;
     double hold_s = is_txn && faults.transaction_hold_s ? faults.transaction_hold_s(call.txn) : 0;
     bool is_late =
         hold_s > 0 || (is_txn && simulation.chance(faults.delayed_transaction_probability));
@@ -97,12 +97,12 @@
         wait_s += is_txn && faults.transaction_delay_s ? faults.transaction_delay_s(call.txn) : 0;
     }
     simulation.after(wait_s, [=, this] {
-        StateReply reply;
+        StoreReply reply;
         bool is_refused =
             faults.store_down || faults.nodes_refused_by_store.count(node) != 0 ||
             (is_txn && faults.refuse_transaction && faults.refuse_transaction(call.txn));
         if (is_refused) {
-            reply.status = StateReply::Status::refused;
+            reply.status = StoreReply::Status::refused;
         } else {
             reply = store.execute(call);
         }
@@ -114,15 +114,15 @@
     });
     if (is_lost) {
         simulation.after(call_timeout_s, [=, this] {
-            reply_to_store_call(node, generation, call.id, StateReply{});
+            reply_to_store_call(node, generation, call.id, StoreReply{});
         });
     }
 }
 
 void SimulatedCluster::reply_to_store_call(int node, int generation, std::uint64_t id,
-                                           const StateReply& reply) {
+                                           const StoreReply& reply) {
     deliver(node, generation,
-            [=, this](Controller& controller) { controller.state_reply(time(), id, reply); });
+            [=, this](Controller& controller) { controller.store_reply(time(), id, reply); });
 }
 
 void SimulatedCluster::serve_watches() {
@@ -137,9 +137,9 @@
 // Answers a watch that has news or whose time has run out, and keeps any other open.
 void SimulatedCluster::serve_watch(Watch watch) {
     bool is_refused = faults.nodes_refused_by_store.count(watch.node) != 0;
-    StateReply reply;
+    StoreReply reply;
     if (watch.since < store.compacted_revision() && !is_refused) {
-        reply.status = StateReply::Status::compacted;
+        reply.status = StoreReply::Status::compacted;
         simulation.after(simulation.message_delay(), [=, this] {
             reply_to_store_call(watch.node, watch.generation, watch.id, reply);
         });
@@ -151,7 +151,7 @@
         watches_.push_back(watch);
         return;
     }
-    reply.status = StateReply::Status::ok;
+    reply.status = StoreReply::Status::ok;
     reply.revision = store.revision();
     reply.events = std::move(news);
     simulation.after(faults.store_reply_delay_s + simulation.message_delay(), [=, this] {
@@ -189,9 +189,10 @@
 }
 
 // False if the fencing token or the session is not the worker's.
-bool SimulatedCluster::execute_direct_call(const OrderCall& call) {
+bool SimulatedCluster::execute_direct_call(const WorkerCommandCall& call) {
     FakeWorker& worker = machines[call.address];
-    if (call.session == 0 || call.token < worker.fencing_token || call.session != worker.session) {
+    if (call.agent_epoch == 0 || call.token < worker.fencing_token ||
+        call.agent_epoch != worker.session) {
         return false;
     }
     worker.fencing_token = call.token;
@@ -201,24 +202,24 @@
     return true;
 }
 
-void SimulatedCluster::send(int node, const OrderCall& call) {
+void SimulatedCluster::send(int node, const WorkerCommandCall& call) {
     int generation = at(node).generation;
     simulation.after(simulation.message_delay(), [=, this] {
-        OrderReply reply;
+        WorkerCommandReply reply;
         auto it = machines.find(call.address);
         bool is_connected = it != machines.end() && reaches_worker(node, it->second);
         bool is_answered = is_connected && !it->second.is_hung;
         if (is_answered) {
             reply.answered = true;
             reply.executed = execute_direct_call(call);
-            reply.report = workers.make_heartbeat(it->second);
+            reply.heartbeat = workers.make_heartbeat(it->second);
         } else if (is_connected) {
             it->second.held_commands.emplace_back([=, this] { execute_direct_call(call); });
         }
         double wait_s = is_answered ? simulation.message_delay() : call_timeout_s;
         simulation.after(wait_s, [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
-                controller.order_reply(time(), call.id, reply);
+                controller.worker_command_reply(time(), call.id, reply);
             });
         });
     });
@@ -281,7 +282,7 @@
     worker.in_flight = true;
     worker.sent_at = now();
     worker.next_report = now() + settings.report_s;
-    Report heartbeat = workers.make_heartbeat(worker);
+    Heartbeat heartbeat = workers.make_heartbeat(worker);
     int node = static_cast<int>(worker.target);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
                    (worker.only_node >= 0 && worker.only_node != node) ||
@@ -299,7 +300,7 @@
                        is_lost ? unreachable_timeout_s : heartbeat_timeout_s);
 }
 
-void SimulatedCluster::deliver_heartbeat(const FakeWorker& worker, const Report& heartbeat) {
+void SimulatedCluster::deliver_heartbeat(const FakeWorker& worker, const Heartbeat& heartbeat) {
     int node = static_cast<int>(worker.target);
     int generation = at(node).generation;
     std::string machine = worker.info.name;
@@ -332,7 +333,7 @@
 }
 
 // A copy of it comes from 2 s to well over a lease later, to whatever process runs there then.
-void SimulatedCluster::duplicate_heartbeat(int node, const Report& heartbeat) {
+void SimulatedCluster::duplicate_heartbeat(int node, const Heartbeat& heartbeat) {
     simulation.after(simulation.uniform(2, 1.5 * settings.lease_s), [=, this] {
         deliver(node, [=, this](Controller& controller) {
             // Nobody waits for its reply.
@@ -397,7 +398,7 @@
     worker.next_report = now() + (names_another ? redirect_pause_s : retry_pause_s);
 }
 
-WorkerReply SimulatedCluster::send_heartbeat(int node, const Report& heartbeat) {
+WorkerReply SimulatedCluster::send_heartbeat(int node, const Heartbeat& heartbeat) {
     std::uint64_t request = simulation.new_request_id();
     auto received = std::make_shared<std::optional<WorkerReply>>();
     worker_reply_handlers_[request] = [received](const WorkerReply& reply) { *received = reply; };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -116,7 +116,7 @@
 
 TEST(Wire, AReportWithSuchATextIsRefusedToo) {
     // Its machine and zone go into records: writing them would have ended the process.
-    Report r{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    Heartbeat r{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
     ASSERT_TRUE(decode_heartbeat(encode_heartbeat(r)));
     for (auto* text : {&r.machine, &r.zone, &r.type}) {
         auto good = std::exchange(*text, "\xff\xfe");
@@ -149,20 +149,20 @@
 }
 
 TEST(Wire, ReportsSurviveTheWayThroughARelay) {
-    Report r{"vm-1",
-             "10.1.0.1:9",
-             "g8",
-             "a",
-             true,
-             2,
-             88,
-             41,
-             7.5,
-             {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
-              {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
+    Heartbeat r{"vm-1",
+                "10.1.0.1:9",
+                "g8",
+                "a",
+                true,
+                2,
+                88,
+                41,
+                7.5,
+                {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
+                 {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
     auto back = decode_heartbeat(*decode_cbor(encode_cbor(encode_heartbeat(r))));
     ASSERT_TRUE(back);
-    EXPECT_EQ(back->session, 2U);
+    EXPECT_EQ(back->agent_epoch, 2U);
     EXPECT_EQ(back->notice_s, 7.5);
     ASSERT_EQ(back->tasks.size(), 2U);
     EXPECT_EQ(back->tasks[1].why, ExitReason::stopped);
@@ -218,11 +218,11 @@
 }
 
 TEST(Wire, StateAnswersByStatus) {
-    StateCall txn;
+    StoreCall txn;
     auto status = [&](int code, const Json& body) {
         return decode_store_reply(txn, code, encode_cbor(body)).status;
     };
-    using S = StateReply::Status;
+    using S = StoreReply::Status;
     EXPECT_EQ(status(200, {{"tide", 432}}), S::ok);
     EXPECT_EQ(status(409, {{"failed", {"a/b"}}, {"tide", 431}}), S::conflict);
     EXPECT_EQ(status(404, {{"tide", 1}}), S::not_found);
@@ -231,8 +231,8 @@
     EXPECT_EQ(status(503, Json::object()), S::refused);
     EXPECT_EQ(status(400, {{"error", "no such lease"}}), S::bad);
     EXPECT_EQ(status(500, Json::object()), S::unknown);
-    StateCall watch;
-    watch.kind = StateCall::Kind::watch;
+    StoreCall watch;
+    watch.kind = StoreCall::Kind::watch;
     auto r =
         decode_store_reply(watch, 200,
                            encode_cbor({{"tide", 433},
@@ -261,8 +261,8 @@
 }
 
 TEST(Wire, TargetsAreEscaped) {
-    StateCall list;
-    list.kind = StateCall::Kind::list;
+    StoreCall list;
+    list.kind = StoreCall::Kind::list;
     list.key = "c/";
     list.after = "c/q/a%20b";
     EXPECT_EQ(store_request(list).target, "/kv?under=c/&from=c/q/a%2520b&most=1000");
