--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -220,7 +220,7 @@
 }
 
 bool AgentRegistry::is_stale(const Machine& machine, const Heartbeat& report) {
-    return machine.heartbeat_received && std::tie(report.session, report.seq) <=
+    return machine.heartbeat_received && std::tie(report.agent_epoch, report.seq) <=
                                              std::tie(machine.agent_epoch, machine.heartbeat_seq);
 }
 
@@ -246,7 +246,7 @@
         take_ownership(machine);
     }
     machine.heartbeat_received = true;
-    machine.agent_epoch = report.session;
+    machine.agent_epoch = report.agent_epoch;
     machine.heartbeat_seq = report.seq;
     machine.fencing_token = report.token;
     if (report.notice_s && !machine.interruption_deadline) {
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -231,8 +231,8 @@
             // Alive, but its heartbeats go elsewhere or don't get through: the raised
             // token makes it turn away from whoever replies to it wrongly.
             machine->probe_failures = 0;
-            if (reply.report) {
-                machine->agent_epoch = std::max(machine->agent_epoch, reply.report->session);
+            if (reply.heartbeat) {
+                machine->agent_epoch = std::max(machine->agent_epoch, reply.heartbeat->agent_epoch);
             }
             if (machine->owned_by_us) {
                 adoption_.raise_token(*machine, 1);
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -67,16 +67,16 @@
     call.machine = machine.name;
     call.address = machine.address;
     call.token = ctx_.fencing_token;
-    call.session = std::max<std::uint64_t>(machine.agent_epoch, 1);
+    call.agent_epoch = std::max<std::uint64_t>(machine.agent_epoch, 1);
     Token token = ctx_.fencing_token;
     ctx_.worker_command(
         call, [this, name = machine.name, token, attempts](const WorkerCommandReply& reply) {
             Machine* machine = registry_.find(name);
-            if (machine == nullptr || !reply.report || !machine->owned_by_us ||
+            if (machine == nullptr || !reply.heartbeat || !machine->owned_by_us ||
                 token != ctx_.fencing_token || machine->adopted) {
                 return;
             }
-            on_token_reply(*machine, *reply.report, attempts);
+            on_token_reply(*machine, *reply.heartbeat, attempts);
         });
 }
 
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -10,7 +10,7 @@
     call.machine = machine.name;
     call.address = machine.address;
     call.token = ctx_.fencing_token;
-    call.session = machine.agent_epoch;
+    call.agent_epoch = machine.agent_epoch;
     call.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, stop.grace_s});
     ctx_.worker_command(call, [](const WorkerCommandReply&) {
         // The worker reports the change by itself within half a second.
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -43,11 +43,12 @@
         return;
     }
     ScaleOutPlan plan(ctx_, agent_manager_, quota_, launcher_);
-    std::vector<const PendingQueue::Waiting*> jobs;
-    pending_queue_.each(scheduler_.is_write_limited(), [&](const PendingQueue::Waiting& waiting) {
-        jobs.push_back(&waiting);
-        return true;
-    });
+    std::vector<const PendingJob*> jobs;
+    pending_queue_.for_each_in_order(scheduler_.is_write_limited(),
+                                     [&](const PendingJob& pending_job) {
+                                         jobs.push_back(&pending_job);
+                                         return true;
+                                     });
     // Largest tasks first, as usual in bin packing.
     std::stable_sort(jobs.begin(), jobs.end(), [](const auto* a, const auto* b) {
         const Resources& x = a->job->spec.each;
@@ -55,7 +56,7 @@
         return std::tie(x.gpus, x.cpus) > std::tie(y.gpus, y.cpus);
     });
     for (const auto* waiting : jobs) {
-        plan.add_job(*waiting);
+        plan.add_job(*pending_job);
     }
     plan.add_headroom(headroom_machines(ctx_, agent_manager_));
     plan.add_spot_headroom();
--- a/src/core/autoscaling/bin_packing.hpp
+++ b/src/core/autoscaling/bin_packing.hpp
@@ -26,7 +26,7 @@
 
 /// Equal for tasks that the same bins take.
 struct DemandClass {
-    int number = 0;             ///< PendingQueue's number of the job's demands
+    int number = 0;             ///< PendingJob::equivalence_class
     bool prefers_spot = false;  ///< takes an empty on-demand machine for nothing but lack of spot
 
     auto operator<=>(const DemandClass&) const = default;
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -19,18 +19,18 @@
     }
 }
 
-void ScaleOutPlan::add_job(const PendingQueue::Waiting& waiting) {
-    const Job& job = *waiting.job;
+void ScaleOutPlan::add_job(const PendingJob& pending_job) {
+    const Job& job = *pending_job.job;
     const JobSpec& spec = job.spec;
     const MachineType* type = cheapest_type_for(spec);
     // Nothing is launched for a job that is likely to fail again, unless it finds no room for
     // long: it must have its retries.
-    bool likely_to_fail =
-        job.doubtful() && ctx_.now.steady - waiting.open_since < constants::job_backoff_max_s;
+    bool likely_to_fail = job.doubtful() && ctx_.now.steady - pending_job.pending_since <
+                                                constants::job_backoff_max_s;
     if (type == nullptr || likely_to_fail) {
         return;
     }
-    TaskDemand demand = demand_of(waiting, *type);
+    TaskDemand demand = demand_of(pending_job, *type);
     // Whether all tasks of its demand class can go to the same bins.
     bool any_zone = !spec.spread && !spec.together && !spec.zone;
     if (any_zone && unplaceable_.count(demand.demand_class) != 0) {
@@ -51,8 +51,8 @@
     }
 }
 
-TaskDemand ScaleOutPlan::demand_of(const PendingQueue::Waiting& waiting, const MachineType& type) {
-    const Job& job = *waiting.job;
+TaskDemand ScaleOutPlan::demand_of(const PendingJob& pending_job, const MachineType& type) {
+    const Job& job = *pending_job.job;
     const JobSpec& spec = job.spec;
     TaskDemand demand;
     demand.spec = &spec;
@@ -74,7 +74,7 @@
     // can be had.
     bool prefers_spot =
         spec.spot && (demand.best_effort || pick_zone(type.name, true, demand.only_zone));
-    demand.demand_class = {waiting.demands, prefers_spot};
+    demand.demand_class = {pending_job.equivalence_class, prefers_spot};
     if (spec.together && !demand.only_zone && spec.tasks > 1) {
         // So that little must be launched beside the room that is there.
         demand.only_zone = packing_.zone_with_most_room(demand);
--- a/src/core/autoscaling/scale_out_plan.hpp
+++ b/src/core/autoscaling/scale_out_plan.hpp
@@ -27,7 +27,7 @@
                  const MachineLauncher& launcher);
 
     /// Packs the open tasks of a job, and launches machines for those that fit none.
-    void add_job(const PendingQueue::Waiting& waiting);
+    void add_job(const PendingJob& pending_job);
     /// Launches on-demand machines until `machines` are empty.
     void add_headroom(int machines);
     /// Launches one spot instance if little room is left on them while jobs for them keep coming.
@@ -39,7 +39,7 @@
   private:
     using Zones = std::set<std::string>;
 
-    TaskDemand demand_of(const PendingQueue::Waiting& waiting, const MachineType& type);
+    TaskDemand demand_of(const PendingJob& pending_job, const MachineType& type);
     bool place_task(TaskDemand& demand);
     std::size_t first_fit(TaskDemand& demand, Zones& excluded);
     bool launch_for(const TaskDemand& demand, const Zones& excluded);
--- a/src/core/store/record_codec.cpp
+++ b/src/core/store/record_codec.cpp
@@ -187,7 +187,7 @@
 }
 
 namespace {
-Json encode_exits(const std::vector<TaskExit>& exits) {
+Json encode_exits(const std::vector<BatchedTaskExit>& exits) {
     Json list = Json::array();
     for (const auto& [task, attempt] : exits) {
         list.push_back(Json::array({task, attempt}));
@@ -195,8 +195,8 @@
     return list;
 }
 
-std::vector<TaskExit> decode_exits(const Json& v) {
-    std::vector<TaskExit> exits;
+std::vector<BatchedTaskExit> decode_exits(const Json& v) {
+    std::vector<BatchedTaskExit> exits;
     for (const auto& each : v) {
         exits.push_back({each.at(0).get<int>(), each.at(1).get<std::uint64_t>()});
     }
--- a/src/core/store/records.hpp
+++ b/src/core/store/records.hpp
@@ -122,7 +122,7 @@
 };
 
 /// The exit of one attempt of a task.
-struct TaskExit {
+struct BatchedTaskExit {
     int task = 0;
     std::uint64_t attempt = 0;
 };
@@ -133,8 +133,8 @@
     int block = 0;
     Revision at = 0;  ///< of the write that said it first; 0: of the one that is being made
     std::map<int, Placement> placed;
-    std::vector<TaskExit> done;
-    std::vector<TaskExit> lost;  ///< exited without being done
+    std::vector<BatchedTaskExit> done;
+    std::vector<BatchedTaskExit> lost;  ///< exited without being done
 };
 
 /// Claims and exits of many jobs in one record: while writes are scarce, one record for each block
