--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -69,7 +69,9 @@
     }
 }
 
-TEST_F(ClusterTest, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
+struct AdmissionTest : ClusterTest {};
+
+TEST_F(AdmissionTest, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
     begin();
     auto submit = [&](int number, const std::string& job_class) {
         auto spec = cluster.make_job(number, JobKind::array, 1);
--- a/tests/answer_history_test.cpp
+++ b/tests/answer_history_test.cpp
@@ -5,7 +5,7 @@
 namespace cranemoor::test {
 namespace {
 
-struct History : ::testing::Test {
+struct AnswerHistoryTest : ::testing::Test {
     AnswerHistory history;
     std::uint64_t next = 0;
     double now = 0;
@@ -24,7 +24,7 @@
     }
 };
 
-TEST_F(History, EachWayOfGoingBackIsNamed) {
+TEST_F(AnswerHistoryTest, EachWayOfGoingBackIsNamed) {
     EXPECT_EQ(tell(ask(), 404, ""), "");
     EXPECT_EQ(tell(ask(), 201, "queued"), "");
     EXPECT_EQ(tell(ask(), 404, ""), "forgotten");
@@ -37,21 +37,21 @@
     EXPECT_EQ(tell(ask(), 503, ""), "");
 }
 
-TEST_F(History, ACancelledJobStaysCancelled) {
+TEST_F(AnswerHistoryTest, ACancelledJobStaysCancelled) {
     EXPECT_EQ(tell(ask(), 200, "cancelled"), "");
     EXPECT_EQ(tell(ask(), 201, "queued"), "went_back");
     EXPECT_EQ(tell(ask(), 200, "done"), "went_back");
     EXPECT_EQ(tell(ask(), 200, "cancelled"), "");
 }
 
-TEST_F(History, OfAnswersUnderWayAtOnceEitherMayBeTheOlder) {
+TEST_F(AnswerHistoryTest, OfAnswersUnderWayAtOnceEitherMayBeTheOlder) {
     auto early = ask();
     auto other = ask();
     EXPECT_EQ(tell(other, 200, "cancelled"), "");
     EXPECT_EQ(tell(early, 200, "running"), "");
 }
 
-TEST_F(History, AJobDoesNotEndInTwoWaysHoweverTheAnswersLie) {
+TEST_F(AnswerHistoryTest, AJobDoesNotEndInTwoWaysHoweverTheAnswersLie) {
     auto early = ask();
     EXPECT_EQ(tell(ask(), 200, "done"), "");
     EXPECT_EQ(tell(early, 200, "cancelled"), "went_back");
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellation_deadline_test.cpp
@@ -1,6 +1,6 @@
 // Cancellations: from the moment at which its user is told, no task of the job starts, and within
-// cancel_s all of them are gone, whatever else goes wrong. The test world checks both after every
-// step, except for a machine that hangs: whether that one was released is asked here.
+// cancel_s all of them are gone, whatever else goes wrong. The simulated cluster checks both after
+// every step, except for a machine that hangs: whether that one was released is asked here.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -8,7 +8,7 @@
 namespace cranemoor::test {
 namespace {
 
-struct Cancellation : HalfMachineJobTest {
+struct CancellationDeadlineTest : HalfMachineJobTest {
     void cancelled(int n, int node = 1) {
         ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, uid(n))).state, "cancelled");
         told = cluster.now();
@@ -19,7 +19,7 @@
     std::string doomed = "vm-50000a";
 };
 
-TEST_F(Cancellation, AMachineHangsThroughAnOutageThatIsLongerThanACancellationMayTake) {
+TEST_F(CancellationDeadlineTest, AMachineHangsThroughAnOutageThatIsLongerThanACancellationMayTake) {
     // Nothing can be written down, so nobody can mark the machine; it must be released all the
     // same, and only that one.
     run_job(1, JobKind::service, 1, "a");
@@ -38,7 +38,7 @@
                                   60));  // proved by the second release
 }
 
-TEST_F(Cancellation, ItsReleaseIsNotConfirmedAndThenTheStateServiceIsOut) {
+TEST_F(CancellationDeadlineTest, ItsReleaseIsNotConfirmedAndThenTheStateServiceIsOut) {
     run_job(1, JobKind::service, 1, "a");
     cluster.machines[doomed].is_hung = true;
     cluster.faults.cloud_down = true;
@@ -51,7 +51,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return gone(doomed); }, left()));
 }
 
-TEST_F(Cancellation, TheOwnerOfAMachineThatHangsEndsAtAnyMoment) {
+TEST_F(CancellationDeadlineTest, TheOwnerOfAMachineThatHangsEndsAtAnyMoment) {
     int n = 0;
     for (double after_s : {-1.0, 0.2, 5.0, 17.0, 18.0, 22.0}) {
         run_job(++n, JobKind::service, 1, "a");
@@ -74,7 +74,7 @@
     }
 }
 
-TEST_F(Cancellation, JobsAreCancelledWhileTheWorkOfOneControllerChangesHands) {
+TEST_F(CancellationDeadlineTest, JobsAreCancelledWhileTheWorkOfOneControllerChangesHands) {
     int n = 0;
     for (double after_s : {0.0, 0.5, 1.5, 2.8, 3.2, 4.0, 6.0}) {
         run_job(++n, JobKind::service, 3);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_F(Cancellation, NothingIsStartedByWhoMayNotKnowOfIt) {
+TEST_F(CancellationDeadlineTest, NothingIsStartedByWhoMayNotKnowOfIt) {
     // Claimed by another, and its owner was cut from the state service and its peers before the
     // machine reported: it answers its workers for a while yet, but starts nothing.
     auto gang = cluster.make_job(1, JobKind::gang, 3);
@@ -116,7 +116,7 @@
     cluster.run_for(cluster.settings.cancel_s);
 }
 
-TEST_F(Cancellation, ItsMachineReachesNobodyButIsReached) {
+TEST_F(CancellationDeadlineTest, ItsMachineReachesNobodyButIsReached) {
     // Workers can't open connections to any controller, while direct commands still arrive.
     run_job(1, JobKind::service, 2, "a");
     run_job(2, JobKind::service, 1, "b");
@@ -137,7 +137,7 @@
 }
 
 // Both teams are at their limits, on machines of all zones.
-struct Limits : Cancellation {
+struct QuotaCancellationTest : CancellationDeadlineTest {
     void SetUp() override {
         cluster.workers.task_run_s = 1000;
         cluster.tunables.idle_return_s = 1000;
@@ -183,19 +183,19 @@
     }
 };
 
-TEST_F(Limits, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsHang) {
+TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsHang) {
     changes([](FakeWorker& m) { m.is_hung = true; });
 }
 
-TEST_F(Limits, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsAreCutOff) {
+TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsAreCutOff) {
     changes([](FakeWorker& m) { m.is_unreachable = true; });
 }
 
-TEST_F(Limits, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsDoNotHear) {
+TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsDoNotHear) {
     changes([](FakeWorker& m) { m.loses_replies = true; });
 }
 
-TEST_F(Cancellation, OneTaskJobsComeFourASecondAndAQuarterIsCancelled) {
+TEST_F(CancellationDeadlineTest, OneTaskJobsComeFourASecondAndAQuarterIsCancelled) {
     cluster.workers.task_run_s = 6;
     cluster.run_for(1);
     constexpr int jobs = 240;
--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -78,4 +78,10 @@
     }
 };
 
+/// A heartbeat of a machine without tasks, in its first session.
+inline Report bare_heartbeat(const std::string& name, const std::string& zone, Token token,
+                             std::uint64_t seq) {
+    return {name, name, "t8", zone, false, 1, seq, token, std::nullopt, {}};
+}
+
 }  // namespace cranemoor::test
--- /dev/null
+++ b/tests/fault_combination_test.cpp
@@ -0,0 +1,241 @@
+// Faults that fall together, two or three at a time; docs/meetings.md has a row for each. Every
+// rule is checked after every step.
+#include <algorithm>
+
+#include "cluster_fixtures.hpp"
+
+namespace cranemoor::test {
+namespace {
+
+struct FaultCombinationTest : HalfMachineJobTest {};
+
+TEST_F(FaultCombinationTest, CopiesOfReportsComeLateWhileOwnersChange) {
+    run_job(1, JobKind::service, 3);
+    auto before = cluster.machines_running(uid(1));
+    cluster.faults.duplicated_heartbeat_probability = 0.5;
+    for (int round = 0; round < 6; ++round) {
+        cluster.kill(round % 3);
+        cluster.run_for(0.3);
+        cluster.start(round % 3);
+        cluster.run_for(8);
+    }
+    cluster.faults.duplicated_heartbeat_probability = 0;
+    cluster.run_for(40);  // until the last copy has come
+    EXPECT_EQ(cluster.machines_running(uid(1)), before);
+    EXPECT_EQ(attempts(1), 3);
+}
+
+TEST_F(FaultCombinationTest, AnOldReportIsTheFirstThatANewOwnerHears) {
+    // Of an earlier session, without the task: neither adopted by it nor a proof of anything.
+    run_job(1, JobKind::service, 1, "a");
+    ASSERT_EQ(owner_of("vm-50000a"), 0);
+    Report old{"vm-50000a", "vm-50000a", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    cluster.kill(0);
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.controller(1).context().jobs.epoch()->members.size() == 2; }, 10));
+    for (int i : {1, 2}) {
+        cluster.send_heartbeat(i, old);
+    }
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.machines_running(uid(1)), std::vector<std::string>{"vm-50000a"});
+    EXPECT_EQ(attempts(1), 1);
+}
+
+TEST_F(FaultCombinationTest, ALeaderEndsWhileAMachineDoesNotHearTheNextOne) {
+    // Its reports arrive, with the old token. The task starts elsewhere only once its place is
+    // known to be empty: by a release, or by a later session that is heard.
+    run_job(1, JobKind::service, 1, "a");
+    cluster.machines["vm-50000a"].loses_replies = true;
+    cluster.kill(0);
+    bool proved = false;
+    for (int i = 0; i < 200; ++i) {
+        cluster.run_for(0.2);
+        const auto& m = cluster.machines["vm-50000a"];
+        proved = proved || m.deleted || m.session > 1;
+        ASSERT_TRUE(proved ||
+                    cluster.machines_running(uid(1)) == std::vector<std::string>{"vm-50000a"})
+            << i;
+        ASSERT_LE(attempts(1), 1) << i;
+    }
+    cluster.machines["vm-50000a"].loses_replies = false;
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 1; }, 60));
+}
+
+TEST_F(FaultCombinationTest, ACancelledTaskOnADeafMachineOfALeaderThatEnded) {
+    run_job(1, JobKind::service, 1, "a");
+    cluster.machines["vm-50000a"].loses_replies = true;
+    cluster.kill(0);
+    cluster.run_for(1);
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    cluster.run_for(cluster.settings.cancel_s * 1.2);
+    EXPECT_EQ(attempts(1), 0);
+}
+
+TEST_F(FaultCombinationTest, TasksOfASmallJobEndOnEitherSideOfAChangeOfLeader) {
+    run_job(1, JobKind::array, 3);
+    for (auto& [name, m] : cluster.machines) {
+        for (auto& [id, list] : m.tasks) {
+            for (auto& [attempt, t] : list) {
+                t.ends_at = cluster.now() + 1 + 25.0 * id.index;
+            }
+        }
+    }
+    cluster.run_for(1.5);  // the first end is reported, and collected for a while
+    for (int i = 0; i < 3; ++i) {
+        cluster.kill(i);
+    }
+    cluster.run_for(0.3);
+    cluster.start_all();
+    cluster.run_for(5);
+    cluster.kill(1);
+    cluster.run_for(0.3);
+    cluster.start(1);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 90));
+    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "done");
+    EXPECT_TRUE(std::none_of(cluster.log_lines.begin(), cluster.log_lines.end(),
+                             [](const std::string& line) {
+                                 return line.find("start req-000001/") != std::string::npos &&
+                                        line.find("attempt 1 ") == std::string::npos &&
+                                        line.find("attempt 2 ") == std::string::npos &&
+                                        line.find("attempt 3 ") == std::string::npos;
+                             }));  // no task began anew
+}
+
+TEST_F(FaultCombinationTest, CutFromTheStateServiceAndTheOthersButNotFromWorkersAndUsers) {
+    run_job(1, JobKind::service, 1, "a");
+    run_job(2, JobKind::service, 1, "a");
+    cluster.faults.nodes_refused_by_store = {0};
+    cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
+    cluster.run_for(0.5);
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    for (int i = 0; i < 20; ++i) {
+        // Whatever the one that is cut off says to users, it is nothing older.
+        auto told = cluster.poll_and_wait(0, uid(1));
+        EXPECT_TRUE(told.status == 503 || told.state == "cancelled") << told.state;
+        cluster.run_for(2);
+    }
+    cluster.run_for(20);
+    EXPECT_EQ(attempts(1), 0);
+    cluster.faults.nodes_refused_by_store.clear();
+    cluster.faults.cut_peer_links.clear();
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 20));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
+}
+
+TEST_F(FaultCombinationTest, TransactionsWithoutAnswersAreCarriedOutAfterNewerOnes) {
+    cluster.workers.task_run_s = 5;
+    cluster.faults.delayed_transaction_probability = 0.4;
+    for (int n = 1; n <= 12; ++n) {
+        auto s = cluster.make_job(n, n % 3 == 0 ? JobKind::gang : JobKind::array, 1 + n % 3);
+        cluster.submit(n % 3, s);
+        cluster.run_for(2);
+        if (n % 4 == 0) {
+            cluster.cancel((n + 1) % 3, uid(n - 1));
+        }
+        if (n == 6) {
+            cluster.kill(1);
+            cluster.run_for(0.3);
+            cluster.start(1);
+        }
+    }
+    cluster.run_for(30);
+    cluster.faults.delayed_transaction_probability = 0;
+    cluster.run_for(15);  // the last of them
+    ASSERT_TRUE(cluster.all_members(3));
+    for (int n = 1; n <= 12; ++n) {
+        if (cluster.is_accepted(uid(n))) {
+            EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(n)); }, 60)) << n;
+            EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).status, 200) << n;
+        }
+    }
+    for (int i = 0; i < 3; ++i) {
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
+    }
+}
+
+TEST_F(FaultCombinationTest, AHeldCommandIsCarriedOutByAMachineThatGoesOnAfterAChangeOfLeader) {
+    // The stop of an earlier attempt's owner, and a job that is cancelled while it hangs.
+    run_job(1, JobKind::service, 1, "a");
+    run_job(2, JobKind::service, 1, "a");
+    auto& m = cluster.machines["vm-50000a"];
+    m.is_hung = true;
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    cluster.run_for(2);
+    cluster.kill(0);
+    cluster.run_for(6);
+    m.is_hung = false;  // what was held is carried out now, as far as its token is the newest
+    cluster.run_for(3);
+    EXPECT_TRUE(cluster.run_until(
+        [&] { return attempts(1) == 0 || cluster.running_tasks(uid(1)) == 0; }, 10));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
+    cluster.start(0);
+    cluster.run_for(cluster.settings.cancel_s);
+    EXPECT_EQ(cluster.running_tasks(uid(2)), 1);
+}
+
+TEST_F(FaultCombinationTest, OverAndBackWithinASecondThenAllEndAndOneReturns) {
+    run_job(1, JobKind::service, 3);
+    auto before = cluster.machines_running(uid(1));
+    for (int i : {0, 1, 0, 2}) {
+        cluster.kill(i);
+        cluster.run_for(0.2);
+        cluster.start(i);
+        cluster.run_for(0.5);
+    }
+    for (int i = 0; i < 3; ++i) {
+        cluster.kill(i);
+    }
+    cluster.run_for(0.3);
+    cluster.start(2);
+    cluster.run_for(15);
+    EXPECT_EQ(cluster.machines_running(uid(1)), before);
+    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "running");
+    cluster.start(0);
+    cluster.start(1);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
+    cluster.run_for(10);
+    EXPECT_EQ(cluster.machines_running(uid(1)), before);
+    EXPECT_EQ(attempts(1), 3);
+}
+
+TEST_F(FaultCombinationTest, AnswersTakeSecondsWhileUsersCancelAndAsk) {
+    for (int n = 1; n <= 4; ++n) {
+        auto s = cluster.make_job(n, JobKind::service, 1);
+        ASSERT_EQ(cluster.submit_and_wait(n % 3, s).status, 201);
+    }
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(4)) == 1; }, 40));
+    cluster.simulation.slow_message_probability = 0.4;
+    for (int i = 0; i < 30; ++i) {
+        cluster.cancel(i % 3, uid(1 + i % 2));
+        cluster.poll(i % 3, uid(1 + i % 4));
+        cluster.run_for(2);
+    }
+    cluster.simulation.slow_message_probability = 0;
+    cluster.run_for(10);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 20));
+    for (int n = 1; n <= 4; ++n) {
+        EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).status, 200) << n;  // nobody is forgotten
+    }
+    EXPECT_TRUE(cluster.run_until(
+        [&] { return cluster.running_tasks(uid(3)) == 1 && cluster.running_tasks(uid(4)) == 1; },
+        60));
+}
+
+TEST_F(FaultCombinationTest,
+       QuestionsAreAnsweredInTimeAlthoughEveryAnswerOfTheStateServiceTakesLong) {
+    // Found by a day of slow answers: a question waited for the check before, its own and the
+    // watch, and of some jobs nothing was to be learnt for 75 s.
+    run_job(1, JobKind::service, 3);
+    cluster.faults.store_reply_delay_s = 1.0;
+    cluster.run_for(5);
+    int answered = 0;
+    for (int i = 0; i < 60; ++i) {
+        cluster.poll(i % 3, uid(1));  // its check is on its way when the next one comes
+        cluster.run_for(0.1);
+        answered += cluster.wait_for_reply(cluster.poll(i % 3, uid(1)), 2).status == 200 ? 1 : 0;
+    }
+    EXPECT_EQ(answered, 60);
+}
+
+}  // namespace
+}  // namespace cranemoor::test
--- a/tests/gang_preemption_test.cpp
+++ b/tests/gang_preemption_test.cpp
@@ -1,11 +1,11 @@
-// Stories of gangs that are stopped whole, so that they save.
+// Preemption of whole gangs, so that they write a checkpoint.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
 namespace {
 
 // Four machines in three zones, all taken by a gang of four whose machines have several owners.
-struct Gang : ThreeControllerTest {
+struct GangPreemptionTest : ThreeControllerTest {
     const std::string gang = "req-000001";
     void fill() {
         begin(3);
@@ -31,7 +31,7 @@
     }
 };
 
-TEST_F(Gang, MakesRoomWholeAndSaved) {
+TEST_F(GangPreemptionTest, MakesRoomWholeAndSaved) {
     fill();
     cluster.submit_and_wait(1, replica());
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000002") == 1; }, 90));
@@ -40,7 +40,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(gang) == 4; }, 60));
 }
 
-TEST_F(Gang, OneThatNoOwnerReachesFallsBackAndRunsNowhereTwice) {
+TEST_F(GangPreemptionTest, OneThatNoOwnerReachesFallsBackAndRunsNowhereTwice) {
     // SimulatedCluster checks that no task starts while its old place may hold it.
     fill();
     auto far = cluster.machines_running(gang).front();
@@ -53,7 +53,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(gang) == 4; }, 90));
 }
 
-TEST_F(Gang, AWishOutlivesItsAskerAndStopsNoLaterAttempt) {
+TEST_F(GangPreemptionTest, AWishOutlivesItsAskerAndStopsNoLaterAttempt) {
     fill();
     cluster.submit_and_wait(1, replica());
     auto wished = [&] {
@@ -73,7 +73,7 @@
     EXPECT_EQ(cluster.running_tasks(gang), 4);
 }
 
-TEST_F(Gang, SavesBeforeAMachineIsTakenAway) {
+TEST_F(GangPreemptionTest, SavesBeforeAMachineIsTakenAway) {
     begin(3);
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 400;
--- /dev/null
+++ b/tests/heartbeat_test.cpp
@@ -0,0 +1,178 @@
+// Heartbeats of workers: fencing tokens, order, redirection and relays to the owner.
+#include <algorithm>
+
+#include "cluster_fixtures.hpp"
+
+namespace cranemoor::test {
+namespace {
+
+struct HeartbeatTest : ClusterTest {};
+
+struct ThreeControllerHeartbeatTest : ThreeControllerTest {};
+
+TEST_F(HeartbeatTest, NothingIsStartedBeforeAReportCarriesOurToken) {
+    begin();
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
+    auto first = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1));
+    EXPECT_EQ(first.status, 200);
+    EXPECT_TRUE(first.commands.empty());
+    auto second = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", first.token, 2));
+    ASSERT_EQ(second.commands.size(), 1U);
+    EXPECT_EQ(second.commands[0].kind, Command::Kind::start);
+}
+
+TEST_F(HeartbeatTest, AHigherTokenThanOursGets421WithoutHome) {
+    begin();
+    auto reply = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 999, 1));
+    EXPECT_EQ(reply.status, 421);
+    EXPECT_EQ(reply.home, "");
+}
+
+TEST_F(ThreeControllerHeartbeatTest, AnothersMachineIsSentHomeAndRelayedIfItComesBack) {
+    begin(3);
+    auto sent = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 1));
+    EXPECT_EQ(sent.status, 421);
+    EXPECT_EQ(sent.home, "n0");  // of its own zone
+    // It is back: its owner can't be reached from there.
+    auto relayed = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 2));
+    EXPECT_EQ(relayed.status, 200);
+    EXPECT_EQ(relayed.token, cluster.controller(0).context().fencing_token);
+}
+
+TEST_F(ThreeControllerHeartbeatTest, MachinesWhoseOwnerIsCutOffFromThemKeepTheirLeases) {
+    begin(3);
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
+    auto before = cluster.machines_running("req-000001");
+    cluster.faults.nodes_cut_from_workers.insert(0);
+    cluster.run_for(40);
+    EXPECT_EQ(cluster.machines_running("req-000001"), before);
+    for (const auto& name : before) {
+        EXPECT_EQ(cluster.machines[name].session, 1U);
+    }
+}
+
+TEST_F(ThreeControllerHeartbeatTest, AnOwnerThatIsCutOffFromItsWorkersAloneReleasesNone) {
+    // Found on an operations day: reports come back by way of the others a moment later than
+    // silence is told, and their answers were kept open longer than the relay waits: 132 healthy
+    // machines were released in ten seconds.
+    cluster.settings.report_s = 4;
+    begin(3);
+    cluster.cloud.capacity = 0;
+    for (int i = 0; i < 60; ++i) {
+        cluster.add_machine(fmt::format("vm-5000{:02}", i),
+                            cluster.settings.zones[static_cast<std::size_t>(i) % 3]);
+    }
+    auto large = cluster.make_job(1, JobKind::service, 60);
+    large.each = {40, 5, 300};  // one to a machine
+    cluster.submit_and_wait(0, large);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 60; }, 60));
+    int up = cluster.cloud.machine_count();
+    cluster.faults.nodes_cut_from_workers.insert(0);
+    cluster.run_for(45);
+    cluster.faults.nodes_cut_from_workers.clear();
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.cloud.machine_count(), up);
+    for (const auto& [name, m] : cluster.machines) {
+        EXPECT_EQ(m.session, 1U) << name;
+    }
+}
+
+TEST_F(ThreeControllerHeartbeatTest, AWorkerThatWasRelayedGoesHomeOnceItCan) {
+    // Found in a restart of a controller among hundreds of machines that stop: workers relayed once
+    // were relayed for good.
+    begin(3);
+    cluster.cloud.capacity = 0;
+    cluster.add_machine("vm-500000", "a");
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
+    cluster.faults.nodes_cut_from_workers.insert(0);
+    auto relayed = [&] {
+        return cluster.controller(0).fleet().find("vm-500000")->last_heartbeat_relayed;
+    };
+    ASSERT_TRUE(cluster.run_until(relayed, 20));
+    cluster.faults.nodes_cut_from_workers.clear();
+    EXPECT_TRUE(cluster.run_until([&] { return !relayed(); }, 45));
+    EXPECT_EQ(cluster.machines.at("vm-500000").session, 1U);
+}
+
+TEST_F(ThreeControllerHeartbeatTest, AFewRelayedReportsMakeNoOwnerPatientWithOthers) {
+    // The same day: one relayed report in 12 s, and none of its owner's machines was fenced in
+    // time.
+    begin(3);
+    cluster.cloud.capacity = 0;
+    for (int i = 0; i < 12; ++i) {
+        cluster.add_machine(fmt::format("vm-5000{:02}", i), "a");
+    }
+    auto large = cluster.make_job(1, JobKind::service, 12);
+    large.each = {40, 5, 300};
+    cluster.submit_and_wait(0, large);
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 12; }, 60));
+    Token token = cluster.controller(0).context().fencing_token;
+    cluster.machines.at("vm-500003").is_hung = true;
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", token, 1)).status, 421);
+    EXPECT_EQ(cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", token, 2)).status, 200);
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.machines.at("vm-500003").deleted; }, 10));
+}
+
+TEST_F(HeartbeatTest, ANodeThatIsNoMemberAnswersWorkersWith503) {
+    cluster.faults.store_down = true;
+    cluster.start_all();
+    cluster.run_for(1);
+    EXPECT_EQ(cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1)).status, 503);
+}
+
+TEST_F(HeartbeatTest, AnOlderReportIsIgnored) {
+    begin();
+    auto token = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 5)).token;
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
+    auto old = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 4));
+    EXPECT_TRUE(old.commands.empty());
+    EXPECT_FALSE(cluster.controller(0).fleet().adopted("vm-100000"));
+}
+
+TEST_F(ThreeControllerHeartbeatTest, EndsThatOnlyWaitToBeWrittenFenceNoMachine) {
+    // Found in a shortage of writes: machines were released for cancelled tasks that had ended
+    // there, and the work that went with them made the shortage last.
+    begin(3);
+    cluster.cloud.capacity = 0;
+    cluster.add_machine("vm-500000", "a");
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 4));
+    cluster.submit_and_wait(0, cluster.make_job(2, JobKind::service, 4));
+    auto running = [&](int n, int of) {
+        return cluster.running_tasks("req-00000" + std::to_string(n)) == of;
+    };
+    ASSERT_TRUE(cluster.run_until([&] { return running(1, 4) && running(2, 4); }, 30));
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000002")).state, "cancelled");
+    cluster.faults.refuse_transaction = [](const Txn& txn) {
+        return std::any_of(txn.writes.begin(), txn.writes.end(),
+                           [](const Write& x) { return x.key == "c/b/req-000002/0"; });
+    };
+    cluster.run_for(20);
+    EXPECT_TRUE(running(1, 4) && running(2, 0));
+    // Nor by an owner that has just taken it over.
+    cluster.kill(0);
+    cluster.run_for(30);
+    EXPECT_TRUE(running(1, 4));
+    EXPECT_FALSE(cluster.machines.at("vm-500000").deleted);
+    cluster.faults.refuse_transaction = nullptr;
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000002"); }, 10));
+}
+
+TEST_F(HeartbeatTest, LongReportIntervalsDoNotLookLikeSilence) {
+    cluster.settings.report_s = 8;
+    cluster.settings.lease_s = 42;
+    cluster.settings.cancel_s = 67;
+    begin();
+    cluster.add_machine("vm-500000", "a");
+    cluster.cloud.capacity = 0;
+    cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
+    cluster.run_for(60);
+    EXPECT_FALSE(cluster.machines["vm-500000"].deleted);
+    EXPECT_EQ(cluster.store.writes_by_kind["c/x"], 0);
+}
+
+}  // namespace
+}  // namespace cranemoor::test
--- a/tests/leaders_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -1,4 +1,4 @@
-// Meetings round a change of leader: who owns machines and who acts for whom changes while reports
+// Faults round a change of leader: who owns machines and who acts for whom changes while reports
 // are old, writes lag, machines come and go, or there is more work than room. Every rule is checked
 // after every step; at the end nobody is left waiting while there is room.
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace cranemoor::test {
 namespace {
 
-struct Leaders : HalfMachineJobTest {
+struct LeaderChangeTest : HalfMachineJobTest {
     int leader() {
         for (int i = 0; i < 3; ++i) {
             if (cluster.is_alive(i) && cluster.controller(i).context().member) {
@@ -59,7 +59,7 @@
     std::vector<std::string> jobs;
 };
 
-TEST_F(Leaders, MachinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
+TEST_F(LeaderChangeTest, MachinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
     cluster.workers.task_run_s = 15;
     cluster.cloud.boot_s = 1.5;
     cluster.cloud.list_lag_s = 8;  // running and at work before anybody lists them
@@ -76,7 +76,7 @@
     nobody_waits();
 }
 
-TEST_F(Leaders, OldReportsReachEveryControllerJustAsANewLeaderBegins) {
+TEST_F(LeaderChangeTest, OldReportsReachEveryControllerJustAsANewLeaderBegins) {
     cluster.workers.task_run_s = 8;
     cluster.faults.recorded_heartbeat_probability = 0.5;
     for (int n = 1; n <= 12; ++n) {
@@ -95,7 +95,7 @@
     nobody_waits();
 }
 
-TEST_F(Leaders, EveryControllerIsAwayForLongerThanALease) {
+TEST_F(LeaderChangeTest, EveryControllerIsAwayForLongerThanALease) {
     cluster.workers.task_run_s = 40;
     submit(1, JobKind::service, 3, 4);
     submit(2, JobKind::array, 4, 2);
@@ -115,7 +115,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3; }, 60));
 }
 
-TEST_F(Leaders, TheLeaderChangesTenTimesInTwoMinutesAlsoInsideAnOutage) {
+TEST_F(LeaderChangeTest, TheLeaderChangesTenTimesInTwoMinutesAlsoInsideAnOutage) {
     cluster.workers.task_run_s = 30;
     submit(1, JobKind::service, 3, 2);
     for (int change = 0; change < 10; ++change) {
@@ -139,7 +139,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3; }, 60));
 }
 
-TEST_F(Leaders, JobsBoundToOneZoneLoseMachines) {
+TEST_F(LeaderChangeTest, JobsBoundToOneZoneLoseMachines) {
     cluster.workers.task_run_s = 25;
     submit(1, JobKind::array, 6, 4, "a");
     submit(2, JobKind::gang, 2, 4, "a");
@@ -161,7 +161,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(3)) == 2; }, 60));
 }
 
-TEST_F(Leaders, AZoneWithItsControllerIsCutOffForLongerThanALease) {
+TEST_F(LeaderChangeTest, AZoneWithItsControllerIsCutOffForLongerThanALease) {
     cluster.workers.task_run_s = 60;
     submit(1, JobKind::service, 3, 3, "c");
     submit(2, JobKind::array, 4, 3);
@@ -185,7 +185,7 @@
     nobody_waits();
 }
 
-TEST_F(Leaders, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
+TEST_F(LeaderChangeTest, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
     cluster.workers.task_run_s = 10;
     std::vector<JobSpec> specs;
     cluster.cloud.capacity = 5;
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -28,7 +28,11 @@
     return cluster.store.find("c/epoch")->at("number").get<std::uint64_t>();
 }
 
-TEST_F(ClusterTest, AClassOfLowerPriorityIsNotLeftWithoutRoom) {
+struct OverloadTest : ClusterTest {};
+
+struct ThreeControllerOverloadTest : ThreeControllerTest {};
+
+TEST_F(OverloadTest, AClassOfLowerPriorityIsNotLeftWithoutRoom) {
     begin();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
@@ -48,7 +52,7 @@
               8);  // and the urgent class still has more than the other
 }
 
-TEST_F(ClusterTest, AGangBelowItsFloorWaitsForWhatRunsOut) {
+TEST_F(OverloadTest, AGangBelowItsFloorWaitsForWhatRunsOut) {
     begin();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 40;
@@ -78,7 +82,7 @@
                                   cluster.workers.task_run_s + 20));
 }
 
-TEST_F(ThreeControllerTest, WhileWritesAreShortClaimsOfManyJobsShareARecord) {
+TEST_F(ThreeControllerOverloadTest, WhileWritesAreShortClaimsOfManyJobsShareARecord) {
     begin(3);
     cluster.workers.task_run_s = 30;
     cluster.run_for(2);
@@ -96,7 +100,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 40); }, 90));
 }
 
-TEST_F(ThreeControllerTest, WhatSheetsSayOutlivesTheMembersThatSaidIt) {
+TEST_F(ThreeControllerOverloadTest, WhatSheetsSayOutlivesTheMembersThatSaidIt) {
     begin(3);
     cluster.workers.task_run_s = 40;
     cluster.store.put_admission_table(true, {1, 2, 3});
@@ -124,7 +128,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 20); }, 150));
 }
 
-TEST_F(ThreeControllerTest, ATableThatTurnsOverAndOverMakesNobodyClaimTwice) {
+TEST_F(ThreeControllerOverloadTest, ATableThatTurnsOverAndOverMakesNobodyClaimTwice) {
     begin(3);
     for (int n = 1; n <= 30; ++n) {
         cluster.submit(n % 3, cluster.make_job(n, JobKind::array, 4));
@@ -132,14 +136,14 @@
         cluster.run_for(0.3);
     }
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 30); },
-                                  200));  // the rules are checked by the world
+                                  200));  // the rules are checked by the cluster
 }
 
-struct Nine : ClusterTest {
-    Nine() : ClusterTest(9) {}
+struct NineControllerOverloadTest : ClusterTest {
+    NineControllerOverloadTest() : ClusterTest(9) {}
 };
 
-TEST_F(Nine, AnEndEverySecondCostsFewEpochsAndNoLease) {
+TEST_F(NineControllerOverloadTest, AnEndEverySecondCostsFewEpochsAndNoLease) {
     begin(9);
     cluster.workers.task_run_s = 200;
     for (int n = 1; n <= 12; ++n) {
@@ -170,7 +174,7 @@
     }
 }
 
-TEST_F(ThreeControllerTest, TheBusiestEndsEverySecondAndUsersAreStillServed) {
+TEST_F(ThreeControllerOverloadTest, TheBusiestEndsEverySecondAndUsersAreStillServed) {
     begin(3);
     int accepted = 0;
     for (int k = 0; k < 30; ++k) {
--- a/tests/read_leases_test.cpp
+++ b/tests/read_leases_test.cpp
@@ -1,4 +1,4 @@
-// Read leases between controllers: pure, so each story is a few calls.
+// Read leases between controllers: pure, so each test is a few calls.
 #include "read_leases/read_leases.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 constexpr double never = -1e9;
 
 // Two controllers and the heartbeats between them; `a` relies on leases, `b` grants them.
-struct Pair : ::testing::Test {
+struct ReadLeaseTest : ::testing::Test {
     ReadLeases a{{"b"}, "a1", 0, times};
     ReadLeases b{{"a"}, "b1", 0, times};
     Self knows_all{false, Self::Knows::all};
@@ -28,7 +28,7 @@
     }
 };
 
-TEST_F(Pair, ALeaseCountsFromWhenItWasAskedForAndThePromiseFromWhenItWasGranted) {
+TEST_F(ReadLeaseTest, ALeaseCountsFromWhenItWasAskedForAndThePromiseFromWhenItWasGranted) {
     a.rely(true);
     b.hear("a", from(a, "b", 20, knows_all), 22, never);
     auto granted = from(b, "a", 24, knows_all);
@@ -40,14 +40,14 @@
     EXPECT_DOUBLE_EQ(a.known_until(50), 50);  // what was read since counts as well
 }
 
-TEST_F(Pair, WhoHasContactGrantsNothing) {
+TEST_F(ReadLeaseTest, WhoHasContactGrantsNothing) {
     a.rely(true);
     exchange(20, in_contact);
     EXPECT_DOUBLE_EQ(a.known_until(never), never);
     EXPECT_FALSE(b.promised(20));
 }
 
-TEST_F(Pair, WhoNeedsNoLeaseGivesItBackAndTakesNoLateOne) {
+TEST_F(ReadLeaseTest, WhoNeedsNoLeaseGivesItBackAndTakesNoLateOne) {
     a.rely(true);
     exchange(20, knows_all);
     b.hear("a", from(a, "b", 21, knows_all), 21, never);
@@ -61,7 +61,7 @@
     EXPECT_DOUBLE_EQ(a.known_until(never), never);
 }
 
-TEST_F(Pair, AProcessThatStartsKeepsThePromisesOfTheOneBefore) {
+TEST_F(ReadLeaseTest, AProcessThatStartsKeepsThePromisesOfTheOneBefore) {
     ReadLeases again({"a"}, "b2", 100, times);
     EXPECT_TRUE(again.promised(114.9));
     EXPECT_FALSE(again.promised(115.1));
@@ -76,13 +76,13 @@
     EXPECT_FALSE(again.promised(101));
 }
 
-TEST_F(Pair, AControllerOfAVersionBeforeHoldsNoLeases) {
+TEST_F(ReadLeaseTest, AControllerOfAVersionBeforeHoldsNoLeases) {
     EXPECT_TRUE(b.promised(1));
     b.hear_older("a");
     EXPECT_FALSE(b.promised(1));
 }
 
-TEST_F(Pair, ABlankLeaseGoesOnFromOneThatHoldsAndBeginsNone) {
+TEST_F(ReadLeaseTest, ABlankLeaseGoesOnFromOneThatHoldsAndBeginsNone) {
     // The process before it may have told something just before its end.
     a.rely(true);
     exchange(20, knows_nothing);
@@ -104,7 +104,7 @@
     EXPECT_DOUBLE_EQ(a.known_until(never), 26 + 14.9);
 }
 
-TEST_F(Pair, ABlankLeaseCountsOfAProcessThatWasThereWhenAllWasRead) {
+TEST_F(ReadLeaseTest, ABlankLeaseCountsOfAProcessThatWasThereWhenAllWasRead) {
     a.rely(true);
     exchange(20, knows_nothing, 19);
     EXPECT_DOUBLE_EQ(a.known_until(19), 19);  // first heard at 20
@@ -112,13 +112,13 @@
     EXPECT_DOUBLE_EQ(a.known_until(21), 22 + 14.9);
 }
 
-TEST_F(Pair, WhoKnowsOnlySomeGrantsNothing) {
+TEST_F(ReadLeaseTest, WhoKnowsOnlySomeGrantsNothing) {
     a.rely(true);
     exchange(20, Self{false, Self::Knows::some});
     EXPECT_DOUBLE_EQ(a.known_until(never), never);
 }
 
-TEST_F(Pair, HeartbeatsThatComeLateTwiceOrFromAnEarlierProcessChangeNothing) {
+TEST_F(ReadLeaseTest, HeartbeatsThatComeLateTwiceOrFromAnEarlierProcessChangeNothing) {
     exchange(0, in_contact);
     auto old = from(a, "b", 1, in_contact);  // wants nothing, and names b1
     a.rely(true);
@@ -140,7 +140,7 @@
     EXPECT_EQ(b.next("a", 5, knows_all).heard_boot, "a2");
 }
 
-TEST_F(Pair, OneOfSeveralThatIsSilentIsEnoughToKnowNothingMore) {
+TEST_F(ReadLeaseTest, OneOfSeveralThatIsSilentIsEnoughToKnowNothingMore) {
     ReadLeases three({"b", "c"}, "a1", 0, times);
     three.rely(true);
     b.hear("a", from(three, "b", 20, knows_all), 20, never);
--- a/tests/rental_test.cpp
+++ b/tests/rental_failover_test.cpp
@@ -1,10 +1,10 @@
-// Stories of rentals whose asker ends.
+// Rentals of a leader that ends before their reply.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
 namespace {
 
-struct LateList : ThreeControllerTest {
+struct RentalFailoverTest : ThreeControllerTest {
     int leader = 0;
     // A job of two machines, asked for by a leading member that the list tells nothing yet.
     void ask() {
@@ -25,18 +25,18 @@
     }
 };
 
-TEST_F(LateList, WhatALeaderWasGivenIsKnownToTheNextOne) {
+TEST_F(RentalFailoverTest, WhatALeaderWasGivenIsKnownToTheNextOne) {
     ask();
     cluster.run_for(0.5);
     the_next_one_rents_nothing_twice();
 }
 
-TEST_F(LateList, WhatALeaderHadAskedForIsAskedAgainUnderTheSameName) {
+TEST_F(RentalFailoverTest, WhatALeaderHadAskedForIsAskedAgainUnderTheSameName) {
     ask();  // and ends before the answer comes
     the_next_one_rents_nothing_twice();
 }
 
-TEST_F(LateList, AnEpochWithTheSameLeaderForgetsNoRental) {
+TEST_F(RentalFailoverTest, AnEpochWithTheSameLeaderForgetsNoRental) {
     cluster.cloud.rental_reply_delay_s = 8;
     ask();
     cluster.kill((leader + 1) % 3);
--- a/tests/safe_time_test.cpp
+++ b/tests/safe_time_test.cpp
@@ -1,4 +1,4 @@
-// Safe time of a replica's copy: pure, so each story is a few calls.
+// Safe time of a replica's copy: pure, so each test is a few calls.
 #include "read_leases/safe_time.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/told_answers_test.cpp
+++ b/tests/user_reply_test.cpp
@@ -1,6 +1,6 @@
-// What users are told: no node answers anything older than what any node told before. The test
-// world's history of answers checks each of them; these stories bring about the meetings in which
-// an older one is near.
+// Replies to users: no node answers anything older than what any node told before. AnswerHistory
+// checks each reply; these tests bring about the combinations of faults in which an older one is
+// near.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -9,7 +9,7 @@
 namespace {
 
 // Three controllers and a machine in each zone, where tasks end soon.
-struct Told : HalfMachineJobTest {
+struct UserReplyTest : HalfMachineJobTest {
     void SetUp() override {
         HalfMachineJobTest::SetUp();
         cluster.workers.task_run_s = 10;
@@ -31,7 +31,7 @@
     }
 };
 
-TEST_F(Told, ACancellationMeetsTheEndOfAJobWithARecordOfItsOwn) {
+TEST_F(UserReplyTest, ACancellationMeetsTheEndOfAJobWithARecordOfItsOwn) {
     // Found in the sources: the final state left the job's own record as it was, and a cancellation
     // depended on that one alone, so that a job was called done and then cancelled.
     accept(large(1));
@@ -46,7 +46,7 @@
     all_say(1, "done");
 }
 
-TEST_F(Told, ACancellationMeetsTheEndOfEveryKindOfJob) {
+TEST_F(UserReplyTest, ACancellationMeetsTheEndOfEveryKindOfJob) {
     // One is asked for at each of three nodes, at moments round the end of the last task.
     cluster.users.verify_each_reply = true;
     int n = 0;
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_F(Told, AnAcceptanceIsAnsweredLateAndTheJobWasCancelledMeanwhile) {
+TEST_F(UserReplyTest, AnAcceptanceIsAnsweredLateAndTheJobWasCancelledMeanwhile) {
     cluster.faults.transaction_reply_delay_s = [](const Txn& t) {
         return t.purpose == Txn::Purpose::accept ? 1.5 : 0.0;
     };
@@ -79,7 +79,7 @@
     all_say(1, "cancelled");
 }
 
-TEST_F(Told, ASubmissionThatWaitsIsAcceptedElsewhereAndCancelled) {
+TEST_F(UserReplyTest, ASubmissionThatWaitsIsAcceptedElsewhereAndCancelled) {
     // It stands in the queue of one node when another accepts it; asked again there, it must not
     // come to life.
     cluster.faults.refuse_transaction = [](const Txn& t) {
@@ -95,7 +95,7 @@
     all_say(1, "cancelled");
 }
 
-TEST_F(Told, UsersAskAtAllNodesWithinMillisecondsAndSubmitAgain) {
+TEST_F(UserReplyTest, UsersAskAtAllNodesWithinMillisecondsAndSubmitAgain) {
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 3;
     for (int n = 1; n <= 40; ++n) {
@@ -119,7 +119,7 @@
     }
 }
 
-TEST_F(Told, TransactionsAreCarriedOutAtOnceAndOnlyTheirAnswersAreLost) {
+TEST_F(UserReplyTest, TransactionsAreCarriedOutAtOnceAndOnlyTheirAnswersAreLost) {
     // Who asked for them knows nothing; the others have read what they wrote.
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 4;
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_F(Told, EverythingIsReadAgainPageByPageAndNothingIsTakenForOver) {
+TEST_F(UserReplyTest, EverythingIsReadAgainPageByPageAndNothingIsTakenForOver) {
     // Guards against half of the records: blocks are read before the records of jobs that have one
     // of their own, and looked as if they had outlived them.
     cluster.workers.task_run_s = 1000;
@@ -179,7 +179,7 @@
     all_say(900, "cancelled");
 }
 
-TEST_F(Told, OddRequestsAreAnsweredAsTheProtocolSaysAndNeverAccepted) {
+TEST_F(UserReplyTest, OddRequestsAreAnsweredAsTheProtocolSaysAndNeverAccepted) {
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 3;
     EXPECT_EQ(cluster.wait_for_reply(cluster.submit_malformed(0, uid(1))).status, 400);
