--- a/tests/tools_test.py
+++ b/tests/tools_test.py
@@ -1,8 +1,6 @@
-"""Stories of the tools: what they make of a short log."""
+"""Tests of the tools: what they make of a short log."""
 
 import contextlib
-import importlib.machinery
-import importlib.util
 import io
 import json
 import pathlib
@@ -13,21 +11,16 @@
 
 sys.dont_write_bytecode = True
 ROOT = pathlib.Path(__file__).resolve().parent.parent
+sys.path.insert(0, str(ROOT / "tools"))
+from loading import load_tool  # noqa: E402
+
 LOG = str(ROOT / "tests" / "logs" / "served.log")
 LARGEST = str(ROOT / "tests" / "logs" / "largest.log")
 
 
-def tool(name):
-    loader = importlib.machinery.SourceFileLoader(name, str(ROOT / "tools" / name))
-    module = importlib.util.module_from_spec(importlib.util.spec_from_loader(name, loader))
-    sys.modules[name] = module
-    loader.exec_module(module)
-    return module
-
-
-served = tool("served")
-regress = tool("regress")
-stories = tool("stories")
+served = load_tool("served")
+regress = load_tool("regress")
+stories = load_tool("stories")
 
 
 def call(*arguments):
