--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -55,7 +55,7 @@
         const Resources& y = b->job->spec.each;
         return std::tie(x.gpus, x.cpus) > std::tie(y.gpus, y.cpus);
     });
-    for (const auto* waiting : jobs) {
+    for (const PendingJob* pending_job : jobs) {
         plan.add_job(*pending_job);
     }
     plan.add_headroom(headroom_machines(ctx_, agent_manager_));
