--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -1,5 +1,6 @@
 // The operators' own settings. docs/operations.md lists the elements.
 #include <algorithm>
+#include <array>
 #include <cmath>
 #include <pugixml.hpp>
 
@@ -16,7 +17,7 @@
     double most;
 };
 
-constexpr Element elements[] = {
+constexpr auto elements = std::to_array<Element>({
     {"locality-wait-s", &core::Tunables::locality_wait_s, 0, 600},
     {"gang-hold-s", &core::Tunables::gang_hold_s, 0, 3600},
     {"share-timeout-s", &core::Tunables::share_timeout_s, 0, 3600},
@@ -24,7 +25,7 @@
     {"idle-return-s", &core::Tunables::idle_return_s, 0, 86400},
     {"final-states", &core::Tunables::final_states, 0, 100000},
     {"silence-s", &core::Tunables::silence_s, 4, 600},
-};
+});
 
 std::string at(const std::string& text, std::ptrdiff_t offset, const std::string& name) {
     auto end = text.begin() +
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -90,79 +90,106 @@
     std::string path_;
 };
 
-}  // namespace
+// The names and addresses of this controller, its peers and the services that it uses.
+void read_addresses(const Reader& file, core::Settings& settings) {
+    settings.name = file.text("node_name");
+    settings.zone = file.text("zone");
+    settings.serve_on = file.text("serve_on");
+    settings.back = file.text("back");
+    file.each("known", [&](const Reader& peer) {
+        settings.peers.push_back(
+            {peer.text("node_name"), peer.text("zone"), peer.text("endpoint")});
+    });
+    Reader services = file.table("services");
+    settings.cloud_address = services.text("cloud");
+    settings.state_address = services.text("state");
+}
 
-core::Settings parse_settings(const std::string& text, const std::string& name) {
-    toml::table table;
+core::Team read_team(const Reader& entry) {
+    core::Team team;
+    team.name = entry.text("name");
+    team.guarantee.cpus = entry.number("cpus", 0, false);
+    team.guarantee.gpus = entry.number("gpus", 0, false);
+    team.limit.cpus = entry.number("cpus_max", 0, false);
+    team.limit.gpus = entry.number("gpus_max", 0, false);
+    return team;
+}
+
+core::Objective read_objective(const Reader& entry) {
+    core::Objective objective;
+    objective.kind = entry.text("kind");
+    if (objective.kind == "wait" || objective.kind == "finished") {
+        objective.job_class = entry.text("class");
+    }
+    objective.within_s = entry.number("within_s", 0, false);
+    objective.share = entry.number("share", 0, false);
+    return objective;
+}
+
+void read_worker_timers(const Reader& workers, core::Settings& settings) {
+    settings.report_s = workers.number("report_s", 0.1);
+    settings.lease_s = workers.number("lease_s", 1);
+    settings.gang_wait_s = workers.number("gang_wait_s", 0);
+    settings.gang_peer_s = workers.number("gang_peer_s", 0);
+    settings.cancel_s = workers.number("cancel_s", 1);
+}
+
+// The limits of the key-value store.
+void read_store_limits(const Reader& store, core::Settings& settings) {
+    const double least_ops = core::constants::txn_ops_least;
+    settings.state_rps = store.number("rps", 1);
+    settings.state_write_rps = store.number("write_rps", 1);
+    settings.state_value_kb = store.number("value_kb", 1);
+    settings.state_value_kb_today = settings.state_value_kb;
+    settings.state_txn_ops = static_cast<int>(store.number("txn_ops", least_ops));
+    if (!store.has("next")) {
+        return;
+    }
+    // Announced limits come without notice: kept to from the start, they surprise nobody.
+    Reader next = store.table("next");
+    double write_rps = next.number("write_rps", 1, false, settings.state_write_rps);
+    double value_kb = next.number("value_kb", 1, false, settings.state_value_kb);
+    auto txn_ops =
+        static_cast<int>(next.number("txn_ops", least_ops, false, settings.state_txn_ops));
+    settings.state_write_rps = std::min(settings.state_write_rps, write_rps);
+    settings.state_value_kb = std::min(settings.state_value_kb, value_kb);
+    settings.state_txn_ops = std::min(settings.state_txn_ops, txn_ops);
+}
+
+toml::table parse_toml(const std::string& text, const std::string& name) {
     try {
-        table = toml::parse(text, name);
-    } catch (const toml::parse_error& e) {
+        return toml::parse(text, name);
+    } catch (const toml::parse_error& error) {
         std::ostringstream where;
-        where << name << ": line " << e.source().begin.line << ": " << e.description();
+        where << name << ": line " << error.source().begin.line << ": " << error.description();
         throw Error(where.str());
     }
-    Reader top(table, name, "");
-    core::Settings s;
-    s.name = top.text("node_name");
-    s.zone = top.text("zone");
-    s.serve_on = top.text("serve_on");
-    s.back = top.text("back");
-    top.each("known", [&](const Reader& r) {
-        s.peers.push_back({r.text("node_name"), r.text("zone"), r.text("endpoint")});
-    });
-    Reader services = top.table("services");
-    s.cloud_address = services.text("cloud");
-    s.state_address = services.text("state");
-    Reader r = top.table("settings");
-    s.zones = r.texts("zones");
-    s.clock_off_s = r.number("clock_off_ms", 0, false) / 1000;
-    r.each("teams", [&](const Reader& t) {
-        core::Team team;
-        team.name = t.text("name");
-        team.guarantee.cpus = t.number("cpus", 0, false);
-        team.guarantee.gpus = t.number("gpus", 0, false);
-        team.limit.cpus = t.number("cpus_max", 0, false);
-        team.limit.gpus = t.number("gpus_max", 0, false);
-        s.teams.push_back(team);
-    });
-    r.each("objectives", [&](const Reader& o) {
-        core::Objective objective;
-        objective.kind = o.text("kind");
-        if (objective.kind == "wait" || objective.kind == "finished") {
-            objective.job_class = o.text("class");
-        }
-        objective.within_s = o.number("within_s", 0, false);
-        objective.share = o.number("share", 0, false);
-        s.objectives.push_back(objective);
+}
+
+}  // namespace
+
+core::Settings parse_settings(const std::string& text, const std::string& name) {
+    toml::table table = parse_toml(text, name);
+    Reader file(table, name, "");
+    core::Settings settings;
+    read_addresses(file, settings);
+    Reader platform = file.table("settings");
+    settings.zones = platform.texts("zones");
+    settings.clock_off_s = platform.number("clock_off_ms", 0, false) / 1000;
+    platform.each("teams",
+                  [&](const Reader& entry) { settings.teams.push_back(read_team(entry)); });
+    platform.each("objectives", [&](const Reader& entry) {
+        settings.objectives.push_back(read_objective(entry));
     });
-    Reader w = r.table("workers");
-    s.report_s = w.number("report_s", 0.1);
-    s.lease_s = w.number("lease_s", 1);
-    s.gang_wait_s = w.number("gang_wait_s", 0);
-    s.gang_peer_s = w.number("gang_peer_s", 0);
-    s.cancel_s = w.number("cancel_s", 1);
-    Reader st = r.table("state");
-    s.state_rps = st.number("rps", 1);
-    s.state_write_rps = st.number("write_rps", 1);
-    s.state_value_kb = s.state_value_kb_today = st.number("value_kb", 1);
-    s.state_txn_ops = static_cast<int>(st.number("txn_ops", core::constants::txn_ops_least));
-    if (st.has("next")) {
-        // Announced limits come without notice: kept to from the start, they surprise nobody.
-        Reader next = st.table("next");
-        s.state_write_rps =
-            std::min(s.state_write_rps, next.number("write_rps", 1, false, s.state_write_rps));
-        s.state_value_kb =
-            std::min(s.state_value_kb, next.number("value_kb", 1, false, s.state_value_kb));
-        s.state_txn_ops = std::min(
-            s.state_txn_ops, static_cast<int>(next.number("txn_ops", core::constants::txn_ops_least,
-                                                          false, s.state_txn_ops)));
-    }
-    Reader cl = r.table("cloud");
-    s.cloud_rps = cl.number("rps", 0.1);
-    s.list_lag_s = cl.number("list_lag_s", 0, false);
-    s.max_connections =
-        static_cast<int>(r.table("machine_limits").number("max_connections", 16, false, 1000));
-    return s;
+    read_worker_timers(platform.table("workers"), settings);
+    read_store_limits(platform.table("state"), settings);
+    Reader cloud = platform.table("cloud");
+    settings.cloud_rps = cloud.number("rps", 0.1);
+    settings.list_lag_s = cloud.number("list_lag_s", 0, false);
+    Reader machine_limits = platform.table("machine_limits");
+    settings.max_connections =
+        static_cast<int>(machine_limits.number("max_connections", 16, false, 1000));
+    return settings;
 }
 
 core::Settings read_settings(const std::string& path) {
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -90,7 +90,7 @@
 }
 
 void AgentRegistry::note_image_used(Machine& machine, const std::string& image_name,
-                                    double size_gb) {
+                                    double size_gb) const {
     int number = image_number(image_name);
     std::erase_if(machine.cached_images,
                   [&](const CachedImage& image) { return image.number == number; });
@@ -224,7 +224,7 @@
                                              std::tie(machine.agent_epoch, machine.heartbeat_seq);
 }
 
-void AgentRegistry::take_ownership(Machine& machine) {
+void AgentRegistry::take_ownership(Machine& machine) const {
     machine.owned_by_us = true;
     machine.adopted = false;
     machine.owned_since = ctx_.now.steady;
--- a/src/core/agents/agent_registry.hpp
+++ b/src/core/agents/agent_registry.hpp
@@ -84,7 +84,7 @@
 
     /// Whether that zone seems partitioned from this controller: nothing new goes there.
     bool zone_partitioned(const std::string& zone) const {
-        return partitioned_zones_.count(zone) != 0;
+        return partitioned_zones_.contains(zone);
     }
     /// Replaces the zones that seem partitioned, as the failure detector finds them.
     void set_partitioned_zones(std::set<std::string> zones) {
@@ -109,8 +109,8 @@
     std::vector<std::string> apply_cloud_listing(const std::vector<ListedMachine>& listing);
 
   private:
-    void take_ownership(Machine& machine);
-    void note_image_used(Machine& machine, const std::string& image_name, double size_gb);
+    void take_ownership(Machine& machine) const;
+    void note_image_used(Machine& machine, const std::string& image_name, double size_gb) const;
     void note_images_pulling(const Machine& machine) const;
 
     Context& ctx_;
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -62,7 +62,7 @@
         for (const auto& name : marks.machines) {
             const Machine* machine = registry_.find(name);
             bool ours = machine != nullptr ? machine->owned_by_us : membership_.is_leader();
-            if (marks.fence && marks.gone.count(name) == 0 && ours) {
+            if (marks.fence && !marks.gone.contains(name) && ours) {
                 names.insert(name);
             }
         }
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -23,7 +23,7 @@
 
 void GangPreemption::request_preemption(const Job& job, const std::string& why) {
     auto key = job.block_key(0);
-    if (!ctx_.is_member || job.stopping() || ctx_.blocks_in_flight.count(key) != 0) {
+    if (!ctx_.is_member || job.stopping() || ctx_.blocks_in_flight.contains(key)) {
         return;
     }
     Block next = job.block(0);
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -72,7 +72,7 @@
         }
         Attempt attempt{id, on.place->attempt};
         bool exit_pending = pending_exits_.find(*on.job, id.index) != nullptr;
-        if (machine.tasks.count(attempt) != 0 || live.count(id) != 0 || exit_pending) {
+        if (machine.tasks.contains(attempt) || live.contains(id) || exit_pending) {
             continue;
         }
         if (machine.starts_sent.insert(attempt).second) {
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -119,7 +119,7 @@
     for (const auto& [index, task_exit] : pending.tasks) {
         const Machine* machine = registry_.find(task_exit.machine);
         if (machine != nullptr && (registry_.vacated(*machine) || machine->interruption_deadline ||
-                                   ctx_.jobs.mark(machine->name))) {
+                                   ctx_.jobs.mark(machine->name) != nullptr)) {
             return true;
         }
     }
@@ -296,7 +296,7 @@
         }
         std::size_t more = bytes_of(entry);
         if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
-            ctx_.blocks_in_flight.count(key) != 0) {
+            ctx_.blocks_in_flight.contains(key)) {
             pending.needs_review = true;
             continue;
         }
@@ -323,7 +323,7 @@
     const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(block);
-    if (ctx_.blocks_in_flight.count(key) != 0) {
+    if (ctx_.blocks_in_flight.contains(key)) {
         return false;
     }
     const Block& old = job.block(block);
@@ -334,7 +334,7 @@
     // Else complete_finished_jobs does it once the blocks are written.
     completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
     for (const auto& [other, record] : job.blocks) {
-        completes = completes && ctx_.blocks_in_flight.count(job.block_key(other)) == 0;
+        completes = completes && !ctx_.blocks_in_flight.contains(job.block_key(other));
     }
     if (!completes && bytes_of(next) > ctx_.value_max()) {
         // Written by the version before, under a larger limit.
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -95,9 +95,8 @@
         }
         // Absent. Only a heartbeat sent after our last reply proves it: a direct
         // command's reply may overtake a start that is still in flight.
-        bool proof = from_heartbeat || machine.starts_sent.count(attempt) == 0;
-        bool lost_gang =
-            job->spec.kind == JobKind::gang && machine.seen_running.count(attempt) != 0;
+        bool proof = from_heartbeat || !machine.starts_sent.contains(attempt);
+        bool lost_gang = job->spec.kind == JobKind::gang && machine.seen_running.contains(attempt);
         if (proof && (lost_gang || !registry_.should_start(machine, *job))) {
             ExitCause cause = lost_gang ? ExitCause::lost : ExitCause::not_started;
             pending_exits_.add(id, {placement->attempt, cause, false, machine.name});
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -47,7 +47,7 @@
     auto status = machine.tasks.find(attempt);
     bool exited = status != machine.tasks.end() && status->second.state == TaskState::exited;
     // A start that has gone out but isn't reported yet must be stopped as well.
-    bool there = status != machine.tasks.end() || machine.starts_sent.count(attempt) != 0;
+    bool there = status != machine.tasks.end() || machine.starts_sent.contains(attempt);
     if (there && !exited) {
         stop(machine, attempt, at_once ? 0 : job.spec.save_s);
     }
--- a/src/core/autoscaling/bin_packing.hpp
+++ b/src/core/autoscaling/bin_packing.hpp
@@ -8,6 +8,7 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "core/agents/agent_registry.hpp"
@@ -29,7 +30,9 @@
     int number = 0;             ///< PendingJob::equivalence_class
     bool prefers_spot = false;  ///< takes an empty on-demand machine for nothing but lack of spot
 
-    auto operator<=>(const DemandClass&) const = default;
+    friend bool operator<(const DemandClass& a, const DemandClass& b) {
+        return std::tie(a.number, a.prefers_spot) < std::tie(b.number, b.prefers_spot);
+    }
 };
 
 /// What the tasks of one job demand of their machines.
@@ -71,7 +74,9 @@
         DemandClass demand_class;
         std::string zone;
 
-        auto operator<=>(const CursorKey&) const = default;
+        friend bool operator<(const CursorKey& a, const CursorKey& b) {
+            return std::tie(a.demand_class, a.zone) < std::tie(b.demand_class, b.zone);
+        }
     };
 
     bool accepts(const Bin& bin, const TaskDemand& demand) const;
--- a/src/core/autoscaling/instance_kind.hpp
+++ b/src/core/autoscaling/instance_kind.hpp
@@ -3,6 +3,7 @@
 
 #include <compare>
 #include <string>
+#include <tuple>
 
 namespace cranemoor::core {
 
@@ -12,7 +13,12 @@
     std::string zone;   ///< availability zone
     bool spot = false;  ///< spot instance: cheaper, and may be interrupted by the provider
 
-    auto operator<=>(const InstanceKind&) const = default;
+    friend bool operator<(const InstanceKind& a, const InstanceKind& b) {
+        return std::tie(a.type, a.zone, a.spot) < std::tie(b.type, b.zone, b.spot);
+    }
+    friend bool operator==(const InstanceKind& a, const InstanceKind& b) {
+        return std::tie(a.type, a.zone, a.spot) == std::tie(b.type, b.zone, b.spot);
+    }
 };
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -69,7 +69,7 @@
     next_unrecorded_at_ = ctx_.now.steady + constants::release_unrecorded_every_s;
     std::vector<std::string> machines;
     for (const auto& name : agent_manager_.failure_detector().overdue_and_silent()) {
-        if (released_unrecorded_.count(name) == 0 && machines.size() < constants::release_max) {
+        if (!released_unrecorded_.contains(name) && machines.size() < constants::release_max) {
             machines.push_back(name);
         }
     }
@@ -97,7 +97,7 @@
         std::size_t bytes = constants::marks_frame_bytes + old.why.size();
         for (const auto& name : marks.machines) {
             bytes += mark_bytes(name);
-            if (machines.count(name) != 0) {
+            if (machines.contains(name)) {
                 marks.gone.insert(name);
             }
         }
@@ -145,7 +145,7 @@
     write_and_reset();
     for (const auto& name : machines) {
         const Cordon* mark = ctx_.jobs.mark(name);
-        if (old.machines.count(name) == 0 || (mark != nullptr && mark->gone)) {
+        if (!old.machines.contains(name) || (mark != nullptr && mark->gone)) {
             continue;
         }
         if (bytes + mark_bytes(name) > ctx_.value_max()) {
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -33,7 +33,7 @@
     TaskDemand demand = demand_of(pending_job, *type);
     // Whether all tasks of its demand class can go to the same bins.
     bool any_zone = !spec.spread && !spec.together && !spec.zone;
-    if (any_zone && unplaceable_.count(demand.demand_class) != 0) {
+    if (any_zone && unplaceable_.contains(demand.demand_class)) {
         return;
     }
     for (int i = 0; i < job.open(); ++i) {
@@ -145,7 +145,7 @@
     std::optional<std::string> best;
     for (const auto& zone : agent_manager_.registry().type(type)->zones) {
         if ((only_zone && *only_zone != zone) || agent_manager_.registry().zone_partitioned(zone) ||
-            excluded.count(zone) != 0 || launcher_.out_of_capacity({type, zone, spot})) {
+            excluded.contains(zone) || launcher_.out_of_capacity({type, zone, spot})) {
             continue;
         }
         if (!best || machines_by_zone_[zone] < machines_by_zone_[*best]) {
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -100,7 +100,7 @@
 Condition BatchedClaims::next_record() const {
     for (const auto& [key, doubt] : unknown_outcomes_) {
         // The next write of the same record decides: only one of the two can be carried out.
-        if (writes_in_flight_.count(key) == 0 && !is_resolved(key)) {
+        if (!writes_in_flight_.contains(key) && !is_resolved(key)) {
             return {key, doubt.revision};
         }
     }
@@ -111,7 +111,7 @@
     for (auto it = ctx_.jobs.claim_batches().lower_bound(prefix);
          it != ctx_.jobs.claim_batches().end() && it->first.compare(0, prefix.size(), prefix) == 0;
          ++it) {
-        if (writes_in_flight_.count(it->first) != 0 || unknown_outcomes_.count(it->first) != 0) {
+        if (writes_in_flight_.contains(it->first) || unknown_outcomes_.contains(it->first)) {
             continue;
         }
         std::size_t kept = live_bytes(it->first);
@@ -128,8 +128,8 @@
     }
     std::uint64_t n = 1;  // a new one
     auto taken = [&](const std::string& key) {
-        return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.count(key) != 0 ||
-               unknown_outcomes_.count(key) != 0;
+        return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.contains(key) ||
+               unknown_outcomes_.contains(key);
     };
     while (taken(keys::claim_batch(ctx_.self.id, n))) {
         ++n;
@@ -168,7 +168,7 @@
             it = unknown_outcomes_.erase(it);
             continue;
         }
-        if (writes_in_flight_.count(key) == 0 && ctx_.is_member &&
+        if (!writes_in_flight_.contains(key) && ctx_.is_member &&
             ctx_.now.steady >= doubt.next_retry_s) {
             doubt.next_retry_s = ctx_.now.steady + constants::retry_state_s;
             ClaimBatch sheet;
@@ -225,8 +225,8 @@
     bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
     bool no_writer_left =
         own_record ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
-    return no_writer_left && writes_in_flight_.count(key) == 0 &&
-           unknown_outcomes_.count(key) == 0 && count_live_bytes(key) == 0;
+    return no_writer_left && !writes_in_flight_.contains(key) && !unknown_outcomes_.contains(key) &&
+           count_live_bytes(key) == 0;
 }
 
 void BatchedClaims::tick() {
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <deque>
+#include <ranges>
 
 #include "core/jobs/job_completion.hpp"
 
@@ -30,7 +31,7 @@
         auto parts = ctx_.jobs.follow_parts().find(uid);
         waits = parts != ctx_.jobs.follow_parts().end();
         for (int n = 0; n < job->follow_parts && waits; ++n) {
-            waits = parts->second.count(n) != 0;
+            waits = parts->second.contains(n);
         }
     }
     auto known = waiting_.find(uid);
@@ -158,7 +159,7 @@
 void Dependencies::look(const std::string& uid) {
     auto it = waiting_.find(uid);
     const Job* job = ctx_.jobs.find(uid);
-    if (it == waiting_.end() || job == nullptr || writing_.count(uid) != 0) {
+    if (it == waiting_.end() || job == nullptr || writing_.contains(uid)) {
         return;
     }
     bool ready = true;
@@ -169,7 +170,7 @@
             return;
         }
         ready = ready && end == End::done;
-        if (end || reading_.count(other) != 0 || !look_ups_.has(ctx_.now.steady, 1)) {
+        if (end || reading_.contains(other) || !look_ups_.has(ctx_.now.steady, 1)) {
             continue;
         }
         // Over so long that its final state was moved away; it was accepted, or nobody could have
@@ -289,11 +290,11 @@
             continue;
         }
         // The last one goes first: an acceptance that comes late is conditional on it.
-        for (auto part = parts.rbegin(); part != parts.rend(); ++part) {
+        for (const auto& [number, part] : std::views::reverse(parts)) {
             if (txn.writes.size() >= ctx_.ops_max()) {
                 break;
             }
-            auto key = keys::follows(uid, part->first);
+            auto key = keys::follows(uid, number);
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -35,7 +35,7 @@
 // Leader only.
 void JobCompletion::complete_finished_jobs() {
     for (const auto& uid : ctx_.jobs.over()) {
-        if (completions_in_flight_.count(uid) != 0) {
+        if (completions_in_flight_.contains(uid)) {
             continue;
         }
         const Job& job = ctx_.jobs.jobs().at(uid);
@@ -71,67 +71,53 @@
     }
 }
 
-// Final states stay among the watched records, where every controller has them in memory, until
-// there are many; then the oldest are moved to keys of their own, which are read when somebody
-// asks. That costs two writes a job, at a time that is not the rush in which it ended.
-void JobCompletion::archive_oldest_final_states() {
-    auto keep = static_cast<std::size_t>(ctx_.tunables.final_states);
-    if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
-        !membership_.has_store_contact() || ctx_.now.steady < next_archive_s_) {
+// Takes a job into the batch if all that is to be written for it fits one transaction.
+void JobCompletion::add_to_archive(const std::string& uid, ArchiveBatch& batch) const {
+    const Job& job = ctx_.jobs.jobs().at(uid);
+    if (!job.final || !job.other_records().empty() || batch.jobs.contains(uid)) {
         return;
     }
-    // All of one record at once, so that it is written once: the oldest job says which.
-    std::size_t ops = ctx_.ops_max();
-    std::set<std::string> gone;
-    std::map<std::string, JobListing> changed;  // what is left of the records that list them
-    std::set<std::string> outgrown;             // records that can't be put again with less in them
-    std::size_t writes = 0;
-    auto add = [&](const std::string& uid) {
-        const Job& job = ctx_.jobs.jobs().at(uid);
-        if (!job.final || !job.other_records().empty() || gone.count(uid) != 0) {
-            return;
-        }
-        auto next = changed;
-        for (const auto& [key, listing] : ctx_.jobs.listings()) {
-            if (listing.count(uid) != 0) {
-                if (ctx_.jobs.listing_bytes(key) > ctx_.value_max()) {
-                    outgrown.insert(key);
-                    return;
-                }
-                next.try_emplace(key, listing).first->second.erase(uid);
-            }
+    auto listings = batch.listings;
+    for (const auto& [key, listing] : ctx_.jobs.listings()) {
+        if (!listing.contains(uid)) {
+            continue;
         }
-        std::size_t own = job.own_record ? 1 : 0;
-        if (writes + 2 + own + next.size() > ops) {
+        if (ctx_.jobs.listing_bytes(key) > ctx_.value_max()) {
+            batch.outgrown.insert(key);
             return;
         }
-        writes += 2 + own;
-        changed = std::move(next);
-        gone.insert(uid);
-    };
+        listings.try_emplace(key, listing).first->second.erase(uid);
+    }
+    // Its block's deletion, its archived final state and, if it has one, its own record's deletion.
+    std::size_t writes = job.own_record ? 3 : 2;
+    if (batch.writes + writes + listings.size() > ctx_.ops_max()) {
+        return;
+    }
+    batch.writes += writes;
+    batch.listings = std::move(listings);
+    batch.jobs.insert(uid);
+}
+
+// All of one record at once, so that it is written once: the oldest job says which.
+JobCompletion::ArchiveBatch JobCompletion::collect_archive_batch() const {
+    ArchiveBatch batch;
     for (const auto& [revision, uid] : ctx_.jobs.final_states()) {
-        if (!gone.empty()) {
+        if (!batch.jobs.empty()) {
             break;
         }
-        add(uid);
+        add_to_archive(uid, batch);
     }
-    auto records = changed;
-    for (const auto& [key, left] : records) {
-        for (const auto& uid : left) {
-            add(uid);
+    auto listings = batch.listings;
+    for (const auto& [key, remaining] : listings) {
+        for (const auto& uid : remaining) {
+            add_to_archive(uid, batch);
         }
     }
-    Txn txn;
-    txn.purpose = Txn::Purpose::final;
-    txn.conditions.push_back(ctx_.epoch_condition());
-    if (gone.empty()) {
-        delete_outgrown_listings(outgrown, txn);
-        if (txn.writes.empty()) {
-            next_archive_s_ = ctx_.now.steady + constants::retire_every_s;
-            return;
-        }
-    }
-    for (const auto& uid : gone) {
+    return batch;
+}
+
+void JobCompletion::add_archive_writes(const ArchiveBatch& batch, Txn& txn) const {
+    for (const auto& uid : batch.jobs) {
         const Job& job = ctx_.jobs.jobs().at(uid);
         auto key = keys::block(uid, 0);
         txn.conditions.push_back({key, job.final_at});
@@ -141,19 +127,43 @@
             txn.writes.push_back({keys::job(uid), std::nullopt});
         }
     }
-    for (const auto& [key, left] : changed) {
+    for (const auto& [key, remaining] : batch.listings) {
         Json jobs = Json::array();
-        for (const auto& uid : left) {
+        for (const auto& uid : remaining) {
             const Job& job = ctx_.jobs.jobs().at(uid);
             jobs.push_back(encode(job.record()));
         }
         txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
-        auto value = left.empty() ? std::nullopt : std::optional(encode_listing(std::move(jobs)));
+        auto value =
+            remaining.empty() ? std::nullopt : std::optional(encode_listing(std::move(jobs)));
         txn.writes.push_back({key, std::move(value)});
     }
+}
+
+// Final states stay among the watched records, where every controller has them in memory, until
+// there are many; then the oldest are moved to keys of their own, which are read when somebody
+// asks. That costs two writes a job, at a time that is not the rush in which it ended.
+void JobCompletion::archive_oldest_final_states() {
+    auto keep = static_cast<std::size_t>(ctx_.tunables.final_states);
+    if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
+        !membership_.has_store_contact() || ctx_.now.steady < next_archive_s_) {
+        return;
+    }
+    ArchiveBatch batch = collect_archive_batch();
+    Txn txn;
+    txn.purpose = Txn::Purpose::final;
+    txn.conditions.push_back(ctx_.epoch_condition());
+    if (batch.jobs.empty()) {
+        delete_outgrown_listings(batch.outgrown, txn);
+        if (txn.writes.empty()) {
+            next_archive_s_ = ctx_.now.steady + constants::retire_every_s;
+            return;
+        }
+    }
+    add_archive_writes(batch, txn);
     archive_in_flight_ = true;
-    ctx_.txn(txn, [this](const StoreReply& r) {
-        ctx_.when_settled(r, [this] { archive_in_flight_ = false; });
+    ctx_.txn(txn, [this](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this] { archive_in_flight_ = false; });
     });
 }
 
--- a/src/core/jobs/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -3,6 +3,7 @@
 // records (into `keys::finished`) so that every controller's replica stays small.
 #pragma once
 
+#include <map>
 #include <set>
 #include <string>
 #include <vector>
@@ -31,8 +32,19 @@
     void tick();
 
   private:
+    // Final states that one transaction moves out of the watched records.
+    struct ArchiveBatch {
+        std::set<std::string> jobs;                  // uids
+        std::map<std::string, JobListing> listings;  // what is left of the records that list them
+        std::set<std::string> outgrown;  // records that can't be put again with less in them
+        std::size_t writes = 0;          // of the jobs, without the listings
+    };
+
     void complete_finished_jobs();
     void archive_oldest_final_states();
+    ArchiveBatch collect_archive_batch() const;
+    void add_to_archive(const std::string& uid, ArchiveBatch& batch) const;
+    void add_archive_writes(const ArchiveBatch& batch, Txn& txn) const;
     void delete_outgrown_listings(const std::set<std::string>& keys, Txn& txn) const;
 
     Context& ctx_;
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -17,7 +17,7 @@
     }
     for (const auto& uid : std::exchange(ctx_.jobs_to_split, {})) {
         const Job* job = ctx_.jobs.find(uid);
-        if (job != nullptr && job->page_size == 0 && splits_in_flight_.count(uid) == 0) {
+        if (job != nullptr && job->page_size == 0 && !splits_in_flight_.contains(uid)) {
             split(*job);
         }
     }
--- a/src/core/quota/quota.hpp
+++ b/src/core/quota/quota.hpp
@@ -16,19 +16,19 @@
     const Team* team(const std::string& name) const;
     // Whether `need` more can be claimed by this member. If its slice must grow for that, the
     // transaction is given the change. False: the limit, or a change under way, forbids it.
-    bool cover(const std::string& team, const Resources& need, Txn& txn) const;
+    bool cover(const std::string& name, const Resources& need, Txn& txn) const;
     // Amounts of claims that are under way or whose outcome is unknown.
-    void reserve(const std::string& team, const Resources& amount);
-    void release(const std::string& team, const Resources& amount);
+    void reserve(const std::string& name, const Resources& amount);
+    void release(const std::string& name, const Resources& amount);
     // What the whole team may still claim, as far as the records say.
-    bool within_limit(const std::string& team, const Resources& more) const;
+    bool within_limit(const std::string& name, const Resources& more) const;
     void tick();
 
   private:
     // The slices with what the dead no longer need removed.
     Slices trimmed(const Team& team) const;
 
-    Resources largest_start(const std::string& team) const;
+    Resources largest_start(const std::string& name) const;
 
     struct Ceiling {
         Revision revision = 0;  // of the record that the slice was given up from
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -54,7 +54,7 @@
     if (job.page_size > 0 && (job.spec.spread || job.spec.together)) {
         // Whether the place is allowed depends on the tasks of the other pages.
         for (int index = 0; index < job.block_count(); ++index) {
-            if (blocks.count(index) == 0) {
+            if (!blocks.contains(index)) {
                 txn.conditions.push_back({job.block_key(index), job.block(index).revision});
             }
         }
@@ -73,7 +73,7 @@
     entry.uid = job.spec.uid;
     entry.block = block;
     for (const auto& [task, placement] : next.placed) {
-        if (job.block(block).placed.count(task) == 0) {
+        if (!job.block(block).placed.contains(task)) {
             entry.placed[task] = placement;
         }
     }
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -17,7 +17,7 @@
     std::map<int, Block> blocks;
     std::uint64_t last_attempt = 0;
     for (int index = 0; index < job.block_count(); ++index) {
-        if (ctx_.blocks_in_flight.count(job.block_key(index)) != 0) {
+        if (ctx_.blocks_in_flight.contains(job.block_key(index))) {
             return {};
         }
         blocks[index] = job.block(index);
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -37,7 +37,7 @@
     /// Whether the machine is reserved for another job than `uid`.
     bool is_reserved_for_other(const std::string& machine, const std::string& uid) const;
     /// Whether the gang reserves machines, or did so lately.
-    bool is_reserving(const std::string& uid) const { return reserving_since_.count(uid) != 0; }
+    bool is_reserving(const std::string& uid) const { return reserving_since_.contains(uid); }
     /// Reserves the machine for a job for that time, in place of any reservation that it has.
     void reserve(const std::string& machine, const JobSpec& spec, double seconds);
     /// Lets a gang that does not fit reserve the machines of ours that will be empty soonest: the
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -55,7 +55,7 @@
 
 void PendingQueue::update(const std::string& uid) {
     const Job* job = ctx_.jobs.find(uid);
-    bool is_open = job != nullptr && ctx_.jobs.open().count(job) != 0;
+    bool is_open = job != nullptr && ctx_.jobs.open().contains(job);
     auto known = pending_jobs_.find(uid);
     if (!is_open) {
         remove(uid);
@@ -201,7 +201,7 @@
     list.reserve(flows.size());
     for (auto& [name, flow] : flows) {
         flow.team_weight = team_weight(name.first);
-        flow.was_below_min_share = min_share_deficits_.count(name) != 0;
+        flow.was_below_min_share = min_share_deficits_.contains(name);
         list.push_back(std::move(flow));
     }
     return list;
@@ -240,7 +240,7 @@
 
 void PendingQueue::log_new_deficits(const Deficits& deficits) const {
     for (const auto& [name, deficit] : deficits) {
-        if (min_share_deficits_.count(name) == 0) {
+        if (!min_share_deficits_.contains(name)) {
             ctx_.info("flow {} of {}: {:.1f} machines below its floor, goes ahead", name.second,
                       name.first, deficit);
         }
--- a/src/core/scheduling/pending_queue.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -118,7 +118,7 @@
     std::map<admission::FlowName, double> machines_held_by_flow() const;
     Deficits find_min_share_deficits() const;
     void log_new_deficits(const Deficits& deficits) const;
-    double team_weight(const std::string& team) const;
+    double team_weight(const std::string& name) const;
     double dominant_share(const Resources& amount) const;
     std::size_t shard_rank(const Job& job) const;
     bool is_backing_off(const PendingJob& pending) const;
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -51,7 +51,7 @@
     void stop(Machine& m, const Job& job, const TaskId& id);
     bool may_preempt(const Job& job, const Job& victim, double waited) const;
     std::optional<Victims> victims_on(Machine& m, const Job& job, double waited) const;
-    bool below_guarantee(const std::string& team, const Resources& more) const;
+    bool below_guarantee(const std::string& name, const Resources& more) const;
 
     Context& ctx_;
     const Membership& membership_;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -109,7 +109,7 @@
         }
         return;
     }
-    if (round.unplaceable_classes.count(pending.equivalence_class) != 0) {
+    if (round.unplaceable_classes.contains(pending.equivalence_class)) {
         if (is_gang) {
             reservations_.reserve_for_gang(round, pending);
         }
@@ -194,7 +194,7 @@
     const JobSpec& spec = job.spec;
     GangSize size{spec.tasks, pending.equivalence_class};
     bool is_reserving = reservations_.is_reserving(spec.uid);
-    if (!is_reserving && round.unplaceable_gangs.count(size) != 0) {
+    if (!is_reserving && round.unplaceable_gangs.contains(size)) {
         return false;
     }
     auto blocks = gang_placement_.next_attempt(job);
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -107,7 +107,7 @@
     const Block& now = job.block(block);
     int not_done = job.block_last(block) - job.block_first(block) + 1 - now.done_count();
     return not_done != static_cast<int>(now.placed.size()) &&
-           ctx_.blocks_in_flight.count(job.block_key(block)) == 0 &&
+           !ctx_.blocks_in_flight.contains(job.block_key(block)) &&
            batched_claims_.may_claim(job, block);
 }
 
@@ -134,7 +134,7 @@
     std::set<MachineOffer*> offers_used;
     CandidateCursor cursor(job, block, candidates, constraints_);
     for (int task = job.block_first(block); task <= job.block_last(block); ++task) {
-        if (now.placed.count(task) != 0 || next.is_done(task)) {
+        if (now.placed.contains(task) || next.is_done(task)) {
             continue;  // also what has just ended without success: it is placed again later
         }
         if (!may_claim_another(job, claimed_before, places.size())) {
--- a/src/core/store/job.cpp
+++ b/src/core/store/job.cpp
@@ -21,7 +21,7 @@
 std::optional<int> Job::first_open(int index) const {
     const Block& wanted = block(index);
     for (int task = block_first(index); task <= block_last(index); ++task) {
-        if (wanted.placed.count(task) == 0 && !wanted.is_done(task)) {
+        if (!wanted.placed.contains(task) && !wanted.is_done(task)) {
             return task;
         }
     }
@@ -66,7 +66,7 @@
 void Job::add_block(int index, const Block& next, Txn& txn) const {
     txn.conditions.push_back({block_key(index), block(index).revision});
     txn.writes.push_back({block_key(index), encode(next)});
-    if (page_size == 0 || pages.count(index) != 0) {
+    if (page_size == 0 || pages.contains(index)) {
         return;
     }
     // The split block is made from the block records as they are known here.
--- a/src/core/store/job.hpp
+++ b/src/core/store/job.hpp
@@ -77,10 +77,10 @@
     /// Key and revision of all block records other than `first_record`.
     std::vector<Condition> other_records() const;
     /// The key of the record that a change of a block is written to.
-    std::string block_key(int block) const;
+    std::string block_key(int index) const;
     /// Adds the write of a block's next state to a transaction, on condition that the records it
     /// was made from are unchanged.
-    void add_block(int block, const Block& next, Txn& txn) const;
+    void add_block(int index, const Block& next, Txn& txn) const;
     /// Whether it failed again after another try: an error of the job itself is then likelier than
     /// a second faulty machine.
     bool doubtful() const { return fails >= constants::job_fails_doubtful; }
@@ -99,7 +99,7 @@
         }
     }
     /// The first task of a block that is neither placed nor done.
-    std::optional<int> first_open(int block) const;
+    std::optional<int> first_open(int index) const;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/store/job_store.cpp
+++ b/src/core/store/job_store.cpp
@@ -184,9 +184,8 @@
 bool JobStore::agrees_with_indexes(const std::string& uid, const Job& job) const {
     BlockTotals counted = count_blocks(job);
     return counted.done == job.done_total && counted.placed == job.placed_total &&
-           has_open_tasks(job) == (open_.count(&job) != 0) &&
-           is_over(job) == (over_.count(uid) != 0) &&
-           (is_live(job) && job.cancelled) == (cancelled_.count(uid) != 0);
+           has_open_tasks(job) == (open_.contains(&job)) && is_over(job) == (over_.contains(uid)) &&
+           (is_live(job) && job.cancelled) == (cancelled_.contains(uid));
 }
 
 bool JobStore::indexes_agree() const {
@@ -219,7 +218,7 @@
     return job != nullptr && (job->page_size > 0 || job->block(entry.block).recorded < entry.at);
 }
 
-std::vector<Condition> JobStore::alive(const Job& job) const {
+std::vector<Condition> JobStore::alive(const Job& job) {
     if (job.own_record) {
         return {{keys::job(job.spec.uid), job.revision}};
     }
--- a/src/core/store/job_store.hpp
+++ b/src/core/store/job_store.hpp
@@ -76,7 +76,7 @@
     /// The final state of a job whose records are still here, or none.
     const Finished* finished(const std::string& uid) const;
     /// What must hold for a change to the tasks of a job that the replica takes for live.
-    std::vector<Condition> alive(const Job& job) const;
+    static std::vector<Condition> alive(const Job& job);
     /// The records that list several jobs, by key.
     const std::map<std::string, JobListing>& listings() const { return listings_.listings(); }
     /// The size of such a record's value in bytes, 0 if it is unknown.
@@ -158,7 +158,7 @@
     void drop_dependencies(const IndexedKey& key);
 
     // The state of jobs and their blocks.
-    void adopt_record(Job& job, JobRecord record);
+    static void adopt_record(Job& job, JobRecord record);
     void set_block(Job& job, int index, Block next);
     void remove_block(Job& job, int index);
     void remove_blocks_without_record(Job& job);
--- a/src/core/store/job_store_blocks.cpp
+++ b/src/core/store/job_store_blocks.cpp
@@ -124,7 +124,7 @@
         return;  // nothing else counts any more
     }
     for (int index = 0; index < job.block_count(); ++index) {
-        if (job.pages.count(index) == 0) {
+        if (!job.pages.contains(index)) {
             derive_page(job, index);
         }
     }
--- a/src/core/store/listing_index.hpp
+++ b/src/core/store/listing_index.hpp
@@ -36,7 +36,7 @@
     /// The size of a record's value in bytes, 0 if it is unknown.
     std::size_t bytes(const std::string& key) const;
     /// Whether any record lists the job.
-    bool has(const std::string& uid) const { return count_.count(uid) != 0; }
+    bool has(const std::string& uid) const { return count_.contains(uid); }
 
   private:
     std::map<std::string, JobListing> listings_;
--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -82,11 +82,11 @@
     }
     for (const auto& [key, marks] : marks_) {
         for (const auto& name : machines) {
-            if (marks.machines.count(name) != 0) {
+            if (marks.machines.contains(name)) {
                 auto& kept = entry(name)->mark;
                 Cordon& mark = kept ? *kept : kept.emplace();
                 mark.fence = mark.fence || marks.fence;
-                mark.gone = mark.gone || marks.gone.count(name) != 0;
+                mark.gone = mark.gone || marks.gone.contains(name);
             }
         }
     }
--- a/src/core/store/placement_index.hpp
+++ b/src/core/store/placement_index.hpp
@@ -8,6 +8,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <tuple>
 #include <unordered_map>
 #include <utility>
 
@@ -68,7 +69,10 @@
     struct TeamMember {
         std::string team;
         std::uint64_t member = 0;
-        auto operator<=>(const TeamMember&) const = default;
+
+        friend bool operator<(const TeamMember& a, const TeamMember& b) {
+            return std::tie(a.team, a.member) < std::tie(b.team, b.member);
+        }
     };
     const std::shared_ptr<MachinePlacements>& entry(const std::string& machine);
     void update(const Job& job, const Block& block, int sign);
--- a/src/core/store/record_codec.hpp
+++ b/src/core/store/record_codec.hpp
@@ -20,7 +20,7 @@
 Json encode(const Epoch& epoch);
 Json encode(const Block& block);
 Json encode(const Finished& finished);
-Json encode(const CordonBatch& cordons);
+Json encode(const CordonBatch& m);
 Json encode(const Slices& slices);
 Json encode(const ClaimBatch& batch);
 Json encode(const admission::Table& table);
--- a/src/core/store/records.hpp
+++ b/src/core/store/records.hpp
@@ -8,6 +8,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "core/model/types.hpp"
@@ -65,7 +66,12 @@
     int size() const { return last - first + 1; }
     /// Whether the range holds the task.
     bool contains(int task) const { return task >= first && task <= last; }
-    auto operator<=>(const TaskRange&) const = default;
+    friend bool operator<(const TaskRange& a, const TaskRange& b) {
+        return std::tie(a.first, a.last) < std::tie(b.first, b.last);
+    }
+    friend bool operator==(const TaskRange& a, const TaskRange& b) {
+        return std::tie(a.first, a.last) == std::tie(b.first, b.last);
+    }
 };
 
 /// The state of a block of consecutive tasks of a job.
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -161,7 +161,7 @@
             break;
         }
         for (const auto& action : actions) {
-            std::visit([this](const auto& each) { perform(each); }, action);
+            std::visit([this](const auto& each) { this->perform(each); }, action);
         }
     }
     performing_ = false;
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -55,7 +55,7 @@
     ev_loop_destroy(loop_);
 }
 
-core::Now Loop::now() const {
+core::Now Loop::now() {
     using namespace std::chrono;
     auto seconds = [](auto time) { return duration<double>(time.time_since_epoch()).count(); };
     return {seconds(steady_clock::now()), seconds(system_clock::now())};
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -29,7 +29,7 @@
         return loop_;
     }
     /// The time by both clocks.
-    core::Now now() const;
+    static core::Now now();
 
   private:
     struct ev_loop* loop_;
--- a/src/read_leases/read_leases.cpp
+++ b/src/read_leases/read_leases.cpp
@@ -57,7 +57,7 @@
     if (heartbeat.boot == p.boot) {
         return heartbeat.beat > p.beat;
     }
-    return (echoes && heartbeat.heard_beat > p.echo) || p.past.count(heartbeat.boot) == 0;
+    return (echoes && heartbeat.heard_beat > p.echo) || !p.past.contains(heartbeat.boot);
 }
 
 bool ReadLeases::hear(const std::string& peer, const Heartbeat& heartbeat, double now,
--- a/tests/answer_history.cpp
+++ b/tests/answer_history.cpp
@@ -25,13 +25,11 @@
     bool known = reply.status == 200 || reply.status == 201;
     bool refused = reply.status == 404 || reply.status == 400 || reply.status == 422;
     std::string broken;
-    if (done && told.cancelled.order != 0) {
-        broken = against("went_back", "cancelled", told.cancelled);  // a job ends in one way only
-    } else if (cancelled && told.done.order != 0) {
-        broken = against("went_back", "done", told.done);
-    } else if (known && !cancelled && !done && before(told.cancelled)) {
+    bool not_ended = known && !cancelled && !done;
+    // A job ends in one way only, and an ended one stays so.
+    if ((done && told.cancelled.order != 0) || (not_ended && before(told.cancelled))) {
         broken = against("went_back", "cancelled", told.cancelled);
-    } else if (known && !cancelled && !done && before(told.done)) {
+    } else if ((cancelled && told.done.order != 0) || (not_ended && before(told.done))) {
         broken = against("went_back", "done", told.done);
     } else if (refused && before(told.accepted)) {
         broken = against("forgotten", "accepted", told.accepted);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -44,7 +44,7 @@
 
 TEST(Settings, AMissingOrWrongFieldIsNamedInOneLine) {
     for (const char* line : {"node_name = \"n0\"", "lease_s = 24.0", "txn_ops = 12",
-                             "cloud = \"127.0.0.1:4\"", "zones = [\"a\", \"b\"]"}) {
+                             "cloud = \"127.0.0.1:4\"", R"(zones = ["a", "b"])"}) {
         auto text = good;
         text.erase(text.find(line), std::string(line).size());
         std::string key = std::string(line).substr(0, std::string(line).find(' '));
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -41,7 +41,7 @@
                               }
                               server.reply(r, a.status, wire::encode_cbor(a.body), a.retry_after_s);
                           }};
-    ctl::RetryPolicy quick() {
+    static ctl::RetryPolicy quick() {
         ctl::RetryPolicy policy;
         policy.request_s = 2;
         policy.again_s = policy.poll_s = 0.01;
@@ -57,7 +57,7 @@
                 {"nestmark_s", 0},     {"preen_s", 0},      {"follows", {"req-000007"}}};
 
     // The program itself; what it says goes to a file.
-    int run(std::vector<std::string> arguments, std::string& said) {
+    static int run(std::vector<std::string> arguments, std::string& said) {
         std::string out = ::testing::TempDir() + "ctl-" + std::to_string(::getpid());
         posix_spawn_file_actions_t files;
         ::posix_spawn_file_actions_init(&files);
--- a/tests/fake_key_value_store.cpp
+++ b/tests/fake_key_value_store.cpp
@@ -107,7 +107,7 @@
     auto operations =
         static_cast<std::size_t>(transaction_operation_limit.value_or(settings_.state_txn_ops));
     if (txn.writes.size() > operations || txn.conditions.size() > 4 * operations) {
-        invariants_.violations.push_back("transaction too large");
+        invariants_.violations.emplace_back("transaction too large");
         return false;
     }
     return std::all_of(txn.writes.begin(), txn.writes.end(),
@@ -120,7 +120,7 @@
         invariants_.violations.push_back("value too large: " + write.key);
         return false;
     }
-    return write.lease == 0 || lease_ends_.count(write.lease) != 0;
+    return write.lease == 0 || lease_ends_.contains(write.lease);
 }
 
 std::vector<std::string> FakeKeyValueStore::failed_conditions(const Txn& txn) const {
--- a/tests/fake_users.cpp
+++ b/tests/fake_users.cpp
@@ -62,8 +62,8 @@
         ledger_.cancelled_at.try_emplace(reply.uid, simulation_.now());
     }
     invariants_.check_user_reply(reply);
-    bool verifies_another = verifying_requests_.count(reply.request) != 0;
-    bool is_submitted = ledger_.specs.count(reply.uid) != 0;
+    bool verifies_another = verifying_requests_.contains(reply.request);
+    bool is_submitted = ledger_.specs.contains(reply.uid);
     if (verify_each_reply && !reply.state.empty() && !verifies_another && is_submitted) {
         verify_reply(reply.uid);
     }
--- a/tests/fake_worker.cpp
+++ b/tests/fake_worker.cpp
@@ -78,9 +78,9 @@
 void FakeWorkers::begin_task(FakeWorker& worker, const TaskId& id, FakeTask& task) {
     const JobSpec& spec = ledger_.specs[id.uid];
     worker.images.insert(spec.image);
-    if (worker.fails_tasks || failing_jobs.count(id.uid) != 0) {
+    if (worker.fails_tasks || failing_jobs.contains(id.uid)) {
         exit_task(task, ExitReason::error);
-    } else if (ledger_.completed_tasks[id.uid].count(id.index) != 0) {
+    } else if (ledger_.completed_tasks[id.uid].contains(id.index)) {
         exit_task(task, ExitReason::done);
     } else {
         bool needs_others = spec.kind == JobKind::gang && spec.tasks > 1;
@@ -215,7 +215,7 @@
     } else if (!spec->second.each.fits_in(left)) {
         exit_task(task, ExitReason::no_room);
     } else {
-        bool has_image = worker.images.count(spec->second.image) != 0;
+        bool has_image = worker.images.contains(spec->second.image);
         task.ready_at = simulation_.now() + (has_image ? 0.01 : image_fetch_s);
     }
     return task;
--- a/tests/fake_worker.hpp
+++ b/tests/fake_worker.hpp
@@ -87,7 +87,7 @@
     /// Executes a command whose fencing token and session were found right.
     void execute(FakeWorker& worker, const Command& command);
     /// The next heartbeat of a worker.
-    Heartbeat make_heartbeat(FakeWorker& worker);
+    static Heartbeat make_heartbeat(FakeWorker& worker);
 
     /// Seconds that a worker takes to fetch an image.
     double image_fetch_s = 0.5;
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -2,6 +2,7 @@
 // Under the sanitizers' build this also finds what reads or computes beyond its bounds.
 #include <gtest/gtest.h>
 
+#include <array>
 #include <cmath>
 #include <random>
 
@@ -27,7 +28,7 @@
     explicit Draw(unsigned seed) : random_(seed) {}
     std::size_t below(std::size_t n) { return n == 0 ? 0 : random_() % n; }
     template <typename T, std::size_t N>
-    const T& of(const T (&list)[N]) {
+    const T& of(const std::array<T, N>& list) {
         return list[below(N)];
     }
     // A few changes of the kind that a bad sender or a damaged copy makes.
@@ -58,22 +59,22 @@
     }
     // A map with one of its values, at any depth, replaced by an odd one.
     Json odd(Json value) {
-        static const Json strange[] = {nullptr,
-                                       true,
-                                       -1,
-                                       0,
-                                       UINT64_MAX,
-                                       INT64_MIN,
-                                       1e308,
-                                       -0.5,
-                                       std::nan(""),
-                                       INFINITY,
-                                       "",
-                                       std::string(300, 'x'),
-                                       "\xff\xfe",
-                                       Json::array(),
-                                       Json::object(),
-                                       {{"a", {1, 2, {3}}}}};
+        static const auto strange = std::to_array<Json>({nullptr,
+                                                         true,
+                                                         -1,
+                                                         0,
+                                                         UINT64_MAX,
+                                                         INT64_MIN,
+                                                         1e308,
+                                                         -0.5,
+                                                         std::nan(""),
+                                                         INFINITY,
+                                                         "",
+                                                         std::string(300, 'x'),
+                                                         "\xff\xfe",
+                                                         Json::array(),
+                                                         Json::object(),
+                                                         {{"a", {1, 2, {3}}}}});
         Json* at = &value;
         while (at->is_structured() && !at->empty() && (at == &value || below(3) != 0)) {
             auto it = at->begin();
@@ -114,13 +115,13 @@
 }
 
 TEST(Fuzz, ARequestMeansTheSameInWhateverPiecesItComes) {
-    const std::string good[] = {
+    const auto good = std::to_array<std::string>({
         "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
         "POST /work HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello",
         "POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;a=b\r\nde\r\n0\r\n"
         "T: 1\r\n\r\n",
         "POST / HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 300\r\n\r\n",
-    };
+    });
     for (unsigned seed = 1; seed <= 1500; ++seed) {
         Draw draw(seed);
         std::string text = draw.damaged(draw.of(good)) + draw.of(good);
@@ -250,7 +251,8 @@
 // --- settings -----------------------------------------------------------------------------
 
 TEST(Fuzz, DamagedSettingsEndInOneErrorOrKeepTheirBounds) {
-    const std::string numbers[] = {"1e300", "-1", "nan", "inf", "\"x\"", "99999999999999999999"};
+    const auto numbers =
+        std::to_array<std::string>({"1e300", "-1", "nan", "inf", "\"x\"", "99999999999999999999"});
     for (unsigned seed = 1; seed <= 1500; ++seed) {
         SCOPED_TRACE(seed);
         Draw draw(seed);
--- a/tests/http_parser_test.cpp
+++ b/tests/http_parser_test.cpp
@@ -9,7 +9,7 @@
 using State = HttpParser::State;
 
 HttpParser requests(std::size_t most = 64UL * 1024) {
-    return HttpParser(HttpParser::Role::request, most);
+    return {HttpParser::Role::request, most};
 }
 
 TEST(HttpParser, ReadsARequestThatComesByteByByte) {
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -141,7 +141,7 @@
         violations.push_back("orphaned: " + reply.uid);
     }
     bool is_known = reply.status == 200 || reply.status == 201;
-    if (is_known && ledger_.specs.count(reply.uid) == 0) {
+    if (is_known && !ledger_.specs.contains(reply.uid)) {
         violations.push_back("invented: " + reply.uid);
     }
 }
--- a/tests/lowered_limit_test.cpp
+++ b/tests/lowered_limit_test.cpp
@@ -13,7 +13,7 @@
 // in one block, 120 of them on machines, and a listing of forty jobs.
 struct LoweredLimitTest : ThreeControllerTest {
     static constexpr int tasks = 128;
-    Json listed(const JobSpec& s, int block_size) {
+    static Json listed(const JobSpec& s, int block_size) {
         return {{"uid", s.uid},
                 {"class", s.job_class},
                 {"team", s.team},
@@ -110,7 +110,7 @@
     cluster.start(0);
     cluster.start(1);
     ASSERT_TRUE(cluster.run_until(
-        [&] { return cluster.store.find("c/b/" + uid(1) + "/0")->at("done").size() > 0; }, 60));
+        [&] { return !cluster.store.find("c/b/" + uid(1) + "/0")->at("done").empty(); }, 60));
     EXPECT_TRUE(cluster.store.keys("c/p/").empty());
     cluster.start(2);
     lower();
--- a/tests/ports.hpp
+++ b/tests/ports.hpp
@@ -6,7 +6,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <string>
+#include <system_error>
 
 namespace cranemoor {
 
@@ -16,7 +18,9 @@
     sockaddr_in a{};
     a.sin_family = AF_INET;
     a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    ::bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof a);
+    if (::bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) {
+        throw std::system_error(errno, std::generic_category(), "bind");
+    }
     socklen_t n = sizeof a;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&a), &n);
     ::close(fd);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -2,12 +2,12 @@
 // accepts a job, hands its start to a worker and calls it done.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdio>
 #include <fstream>
 
@@ -17,8 +17,6 @@
 #include "wire/cbor.hpp"
 #include "wire/worker_messages.hpp"
 
-extern char** environ;
-
 namespace cranemoor {
 namespace {
 
@@ -131,7 +129,7 @@
         }
         std::remove(path.c_str());
     }
-    int start(std::vector<std::string> arguments) {
+    static int start(std::vector<std::string> arguments) {
         std::vector<char*> argv;
         std::string program = CRANEMOOR_PROGRAM;
         argv.push_back(program.data());
--- a/tests/read_leases_test.cpp
+++ b/tests/read_leases_test.cpp
@@ -17,7 +17,7 @@
     Self knows_nothing{false, Self::Knows::nothing};
     Self in_contact{true, Self::Knows::all};
 
-    Heartbeat from(ReadLeases& who, const char* to, double now, const Self& self) {
+    static Heartbeat from(ReadLeases& who, const char* to, double now, const Self& self) {
         who.begin(now);
         return who.next(to, now, self);
     }
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -99,7 +99,7 @@
     simulation.after(wait_s, [=, this] {
         StoreReply reply;
         bool is_refused =
-            faults.store_down || faults.nodes_refused_by_store.count(node) != 0 ||
+            faults.store_down || faults.nodes_refused_by_store.contains(node) ||
             (is_txn && faults.refuse_transaction && faults.refuse_transaction(call.txn));
         if (is_refused) {
             reply.status = StoreReply::Status::refused;
@@ -136,7 +136,7 @@
 
 // Answers a watch that has news or whose time has run out, and keeps any other open.
 void SimulatedCluster::serve_watch(Watch watch) {
-    bool is_refused = faults.nodes_refused_by_store.count(watch.node) != 0;
+    bool is_refused = faults.nodes_refused_by_store.contains(watch.node);
     StoreReply reply;
     if (watch.since < store.compacted_revision() && !is_refused) {
         reply.status = StoreReply::Status::compacted;
@@ -185,7 +185,7 @@
 bool SimulatedCluster::reaches_worker(int node, const FakeWorker& worker) const {
     return !worker.deleted && !worker.is_unreachable && !worker.loses_replies &&
            now() >= worker.up_at && (worker.only_node < 0 || worker.only_node == node) &&
-           faults.nodes_cut_from_workers.count(node) == 0;
+           !faults.nodes_cut_from_workers.contains(node);
 }
 
 // False if the fencing token or the session is not the worker's.
@@ -230,7 +230,7 @@
 void SimulatedCluster::send(int node, const PeerCall& call) {
     int generation = at(node).generation;
     int peer = node_of(call.peer);
-    bool is_cut = faults.cut_peer_links.count({std::min(node, peer), std::max(node, peer)}) != 0;
+    bool is_cut = faults.cut_peer_links.contains({std::min(node, peer), std::max(node, peer)});
     if (is_cut || !is_alive(peer)) {
         simulation.after(peer_timeout_s, [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
@@ -243,7 +243,7 @@
     simulation.after(simulation.message_delay(), [=, this] {
         deliver(peer, peer_generation, [=, this](Controller& controller) {
             PeerCall message = call;
-            if (faults.nodes_without_read_leases.count(node) != 0) {
+            if (faults.nodes_without_read_leases.contains(node)) {
                 message.lease.reset();
             }
             controller.peer_message(time(), node_name(node), message);
@@ -286,7 +286,7 @@
     int node = static_cast<int>(worker.target);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
                    (worker.only_node >= 0 && worker.only_node != node) ||
-                   faults.nodes_cut_from_workers.count(node) != 0 || !is_alive(node);
+                   faults.nodes_cut_from_workers.contains(node) || !is_alive(node);
     if (!is_lost && simulation.chance(faults.duplicated_heartbeat_probability)) {
         duplicate_heartbeat(node, heartbeat);
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,6 +1,7 @@
 // The wire's decoders on good, odd and malformed messages.
 #include <gtest/gtest.h>
 
+#include <array>
 #include <cmath>
 
 #include "wire/cbor.hpp"
@@ -62,10 +63,18 @@
 }
 
 TEST(Wire, OutOfRangeIsInvalidAndNamesTheField) {
-    const std::pair<const char*, Json> cases[] = {
-        {"hatchlings", 0}, {"hatchlings", 100001}, {"hatchlings", 1.5}, {"hatchlings", -1},
-        {"cpus", -1.0},    {"cpus", std::nan("")}, {"gait", "swarm"},   {"rank", "urgent"},
-        {"together", 1},   {"breeds", {1}},        {"marsh", 7},        {"dusk_s", "soon"}};
+    const auto cases = std::to_array<std::pair<const char*, Json>>({{"hatchlings", 0},
+                                                                    {"hatchlings", 100001},
+                                                                    {"hatchlings", 1.5},
+                                                                    {"hatchlings", -1},
+                                                                    {"cpus", -1.0},
+                                                                    {"cpus", std::nan("")},
+                                                                    {"gait", "swarm"},
+                                                                    {"rank", "urgent"},
+                                                                    {"together", 1},
+                                                                    {"breeds", {1}},
+                                                                    {"marsh", 7},
+                                                                    {"dusk_s", "soon"}});
     for (const auto& [key, value] : cases) {
         auto v = submission();
         v[key] = value;
