--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <deque>
-#include <ranges>
 
 #include "core/jobs/job_completion.hpp"
 
@@ -204,7 +203,7 @@
     record.spec.follows.clear();
     record.ready_wall = std::max(1.0, ctx_.now.wall);
     Txn txn;
-    txn.conditions = ctx_.jobs.alive(job);
+    txn.conditions = JobStore::alive(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     txn.writes = {{keys::job(uid), encode(record)}};
     writing_.insert(uid);
@@ -290,11 +289,10 @@
             continue;
         }
         // The last one goes first: an acceptance that comes late is conditional on it.
-        for (const auto& [number, part] : std::views::reverse(parts)) {
-            if (txn.writes.size() >= ctx_.ops_max()) {
-                break;
-            }
-            auto key = keys::follows(uid, number);
+        auto part = parts.end();
+        while (part != parts.begin() && txn.writes.size() < ctx_.ops_max()) {
+            --part;
+            auto key = keys::follows(uid, part->first);
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -10,7 +10,7 @@
 std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
                                                 Txn& txn) {
     const auto& uid = job.spec.uid;
-    for (auto& condition : ctx.jobs.alive(job)) {
+    for (auto& condition : JobStore::alive(job)) {
         txn.conditions.push_back(std::move(condition));
     }
     const Block& first = job.first_record();
--- a/src/ctl/client_request.cpp
+++ b/src/ctl/client_request.cpp
@@ -57,7 +57,7 @@
 
 Response ClientRequest::run(Call call) {
     call_ = std::move(call);
-    deadline_ = call_.limit_s > 0 ? loop_.now().steady + call_.limit_s : never;
+    deadline_ = call_.limit_s > 0 ? io::Loop::now().steady + call_.limit_s : never;
     response_ = {};
     retry_timer_.start(0);
     loop_.run();
@@ -85,7 +85,7 @@
             pause_s = std::max(pause_s, std::min(asked_s, policy_.retry_max_s));
         }
     }
-    if (loop_.now().steady + pause_s > deadline_) {
+    if (io::Loop::now().steady + pause_s > deadline_) {
         finish(ExitCode::no_answer);
         return;
     }
--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -36,7 +36,7 @@
 }
 
 void CloudClient::send_queued() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     while (!queue_.empty() && budget_.has(now, 1)) {
         budget_.take(1);
         core::CloudCall call = std::move(queue_.front());
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -29,17 +29,17 @@
           [this](std::uint64_t request, HttpMessage&& message) { serve_peer(request, message); }),
       store_(loop, settings,
              [this](std::uint64_t call, const core::StoreReply& reply) {
-                 controller_.store_reply(loop_.now(), call, reply);
+                 controller_.store_reply(Loop::now(), call, reply);
                  perform_actions();
              }),
       cloud_(loop, settings,
              [this](std::uint64_t call, const core::CloudReply& reply) {
-                 controller_.cloud_reply(loop_.now(), call, reply);
+                 controller_.cloud_reply(Loop::now(), call, reply);
                  perform_actions();
              }),
       tick_timer_(loop,
                   [this] {
-                      controller_.tick(loop_.now());
+                      controller_.tick(Loop::now());
                       perform_actions();
                   }),
       prune_timer_(loop, [this] { prune_worker_clients(); }) {
@@ -50,7 +50,7 @@
 }
 
 void Gateway::start() {
-    controller_.start(loop_.now());
+    controller_.start(Loop::now());
     perform_actions();
     tick_timer_.start(constants::core_tick_s, constants::core_tick_s);
     prune_timer_.start(constants::worker_prune_s, constants::worker_prune_s);
@@ -74,12 +74,12 @@
 }
 
 void Gateway::serve_health(std::uint64_t request) {
-    bool healthy = controller_.healthy(loop_.now());
+    bool healthy = controller_.healthy(Loop::now());
     client_server_.reply(request, healthy ? http_status::ok : http_status::service_unavailable, "");
 }
 
 void Gateway::serve_heartbeat(std::uint64_t request, const std::string& body) {
-    core::Now now = loop_.now();
+    core::Now now = Loop::now();
     auto heartbeat = wire::decode_heartbeat_body(body);
     if (!heartbeat) {
         client_server_.reply(request, http_status::bad_request, "");
@@ -90,7 +90,7 @@
 }
 
 void Gateway::serve_submission(std::uint64_t request, const std::string& body) {
-    core::Now now = loop_.now();
+    core::Now now = Loop::now();
     auto spec = wire::decode_submission(body);
     if (spec) {
         controller_.submit(now, request, *spec);
@@ -102,7 +102,7 @@
 
 // A poll or a cancellation of one job.
 void Gateway::serve_job(std::uint64_t request, const std::string& method, const std::string& path) {
-    core::Now now = loop_.now();
+    core::Now now = Loop::now();
     wire::JobPath job = wire::parse_job_path(path);
     if (method != (job.is_cancellation ? "POST" : "GET")) {
         client_server_.reply(request, http_status::method_not_allowed, "");
@@ -139,9 +139,9 @@
         return;
     }
     const core::PeerCall& call = decoded->call;
-    controller_.peer_message(loop_.now(), decoded->from, call);
+    controller_.peer_message(Loop::now(), decoded->from, call);
     if (call.relay) {
-        controller_.report(loop_.now(), request, *call.relay, true);
+        controller_.report(Loop::now(), request, *call.relay, true);
     } else {
         peer_server_.reply(request, http_status::ok, "");
     }
@@ -207,14 +207,14 @@
         reply.executed = response->status == http_status::ok;
         reply.heartbeat = wire::decode_heartbeat_body(response->body).to_optional();
     }
-    controller_.worker_command_reply(loop_.now(), call, reply);
+    controller_.worker_command_reply(Loop::now(), call, reply);
     perform_actions();
 }
 
 void Gateway::perform(const core::PeerCall& call) {
     auto peer = peers_.find(call.peer);
     if (peer == peers_.end()) {
-        controller_.peer_reply(loop_.now(), call.id, false, std::nullopt);
+        controller_.peer_reply(Loop::now(), call.id, false, std::nullopt);
         return;
     }
     double timeout_s = call.relay ? constants::relay_timeout_s : constants::peer_beat_s;
@@ -228,7 +228,7 @@
     if (response != nullptr && response->status == http_status::ok && !response->body.empty()) {
         reply = wire::decode_peer_reply(response->body).to_optional();
     }
-    controller_.peer_reply(loop_.now(), call, response != nullptr, reply);
+    controller_.peer_reply(Loop::now(), call, response != nullptr, reply);
     perform_actions();
 }
 
@@ -260,7 +260,7 @@
 // Connections to workers are kept for the next command, unless they are many: after a failover
 // there is one to each machine, and the sockets are needed for heartbeats.
 void Gateway::prune_worker_clients() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     auto clients_max =
         static_cast<std::size_t>(settings_.max_connections * constants::orders_share);
     for (auto it = workers_.begin(); it != workers_.end();) {
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -36,9 +36,9 @@
     call->method = method;
     call->target = target;
     call->body = body;
-    call->deadline = loop_.now().steady + timeout_s;
+    call->deadline = Loop::now().steady + timeout_s;
     call->done = std::move(done);
-    last_used_ = loop_.now().steady;
+    last_used_ = Loop::now().steady;
     queue_.push_back(std::move(call));
     send_queued();
 }
@@ -66,7 +66,7 @@
         }
         if (!id) {
             if (!queue_timer_.active()) {
-                double wait_s = queue_.front()->deadline - loop_.now().steady;
+                double wait_s = queue_.front()->deadline - Loop::now().steady;
                 queue_timer_.start(std::max(0.0, wait_s));
             }
             return;
@@ -101,7 +101,7 @@
 
 // Ends the queued calls whose time is over; without any connection all of them.
 void HttpClient::expire_queued() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     bool no_socket = connections_.empty();
     std::deque<std::unique_ptr<Call>> expired;
     for (auto it = queue_.begin(); it != queue_.end();) {
@@ -125,7 +125,7 @@
     connection.output = http_request(call->method, call->target, address_, call->body);
     connection.response_has_begun = false;
     connection.timer = std::make_unique<Timer>(loop_, [this, id] { finish(id, nullptr, false); });
-    connection.timer->start(std::max(timeout_s_least, call->deadline - loop_.now().steady));
+    connection.timer->start(std::max(timeout_s_least, call->deadline - Loop::now().steady));
     connection.call = std::move(call);
     connection.descriptor->watch(EV_READ | EV_WRITE);
 }
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -67,7 +67,7 @@
     connection->descriptor = std::make_unique<Descriptor>(
         loop_, fd, [this, id](int events) { handle_events(id, events); });
     connection->descriptor->watch(EV_READ);
-    connection->last_active = loop_.now().steady;
+    connection->last_active = Loop::now().steady;
     begin_request(id, *connection);
     connections_[id] = std::move(connection);
 }
@@ -75,7 +75,7 @@
 void HttpServer::begin_request(std::uint64_t id, Connection& connection) {
     incomplete_.erase({connection.request_began, id});
     connection.awaits_request = true;
-    connection.request_began = loop_.now().steady;
+    connection.request_began = Loop::now().steady;
     incomplete_.insert({connection.request_began, id});
 }
 
@@ -86,7 +86,7 @@
 
 void HttpServer::mark_idle(std::uint64_t id, Connection& connection) {
     connection.is_idle = true;
-    connection.last_active = loop_.now().steady;
+    connection.last_active = Loop::now().steady;
     idle_.insert({connection.shed_rank, connection.last_active, id});
 }
 
@@ -101,7 +101,7 @@
 // these is closed first. Otherwise an idle one is, in the order of the shedding policy: while two
 // of three controllers are out of service, all workers and users connect to this one.
 bool HttpServer::shed_one() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     if (!incomplete_.empty() && now - incomplete_.begin()->began >= constants::half_sent_spare_s) {
         close(incomplete_.begin()->id);
         return true;
@@ -132,7 +132,7 @@
 }
 
 void HttpServer::close_timed_out() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     std::vector<std::uint64_t> timed_out;
     for (const auto& [id, connection] : connections_) {
         if (is_timed_out(*connection, now)) {
@@ -182,7 +182,7 @@
         return;
     }
     mark_active(id, connection);
-    connection.last_active = loop_.now().steady;
+    connection.last_active = Loop::now().steady;
     if (connection.is_closing) {
         return;  // has had its last response; what still comes is not read
     }
@@ -276,7 +276,7 @@
         }
         output.erase(0, static_cast<std::size_t>(size));
         if (!connection.is_idle) {
-            connection.last_active = loop_.now().steady;
+            connection.last_active = Loop::now().steady;
         }
     }
     if (output.empty() && connection.is_closing) {
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -41,7 +41,7 @@
 
 void StoreClient::call(core::StoreCall call) {
     QueuedCall queued;
-    queued.deadline = loop_.now().steady + constants::state_timeout_s;
+    queued.deadline = Loop::now().steady + constants::state_timeout_s;
     queued.call = std::move(call);
     if (queued.is_watch()) {
         queued.deadline = never;
@@ -65,7 +65,7 @@
 
 // Sends what the budgets allow, and sets the timer for the rest.
 void StoreClient::send_queued() {
-    double now = loop_.now().steady;
+    double now = Loop::now().steady;
     double next_s = never;
     // Guards against a transaction of several writes that never goes out, since smaller ones that
     // came later take what little is left each time.
@@ -159,7 +159,7 @@
 // Sends again what was over the limit, which all controllers share, and so was not executed.
 void StoreClient::retry(QueuedCall queued) {
     queued.retries++;
-    queued.not_before = loop_.now().steady + constants::state_again_s * queued.retries;
+    queued.not_before = Loop::now().steady + constants::state_again_s * queued.retries;
     enqueue(std::move(queued));
     send_queued();
 }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -141,7 +141,7 @@
         ::posix_spawn(&pid, program.c_str(), nullptr, nullptr, argv.data(), environ);
         return pid;
     }
-    int exit_code(std::vector<std::string> arguments) {
+    static int exit_code(std::vector<std::string> arguments) {
         int status = -1;
         ::waitpid(start(std::move(arguments)), &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -212,7 +212,7 @@
         if (is_answered) {
             reply.answered = true;
             reply.executed = execute_direct_call(call);
-            reply.heartbeat = workers.make_heartbeat(it->second);
+            reply.heartbeat = FakeWorkers::make_heartbeat(it->second);
         } else if (is_connected) {
             it->second.held_commands.emplace_back([=, this] { execute_direct_call(call); });
         }
@@ -282,7 +282,7 @@
     worker.in_flight = true;
     worker.sent_at = now();
     worker.next_report = now() + settings.report_s;
-    Heartbeat heartbeat = workers.make_heartbeat(worker);
+    Heartbeat heartbeat = FakeWorkers::make_heartbeat(worker);
     int node = static_cast<int>(worker.target);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
                    (worker.only_node >= 0 && worker.only_node != node) ||
