--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -17,8 +17,7 @@
 }  // namespace
 
 CloudClient::CloudClient(Loop& loop, const core::Settings& settings, Done done)
-    : loop_(loop),
-      done_(std::move(done)),
+    : done_(std::move(done)),
       client_(loop, settings.cloud_address, constants::cloud_connections,
               constants::cloud_answer_max),
       budget_(settings.cloud_rps * constants::cloud_share,
--- a/src/io/cloud_client.hpp
+++ b/src/io/cloud_client.hpp
@@ -28,7 +28,6 @@
     void send_queued();
     void send(const core::CloudCall& call);
 
-    Loop& loop_;
     Done done_;
     HttpClient client_;
     core::RateBudget budget_;
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -26,8 +26,7 @@
 }  // namespace
 
 StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Done done)
-    : loop_(loop),
-      done_(std::move(done)),
+    : done_(std::move(done)),
       calls_(loop, settings.state_address, constants::state_connections,
              constants::state_answer_max),
       watches_(loop, settings.state_address, constants::watch_connections,
--- a/src/io/store_client.hpp
+++ b/src/io/store_client.hpp
@@ -51,7 +51,6 @@
     void handle_response(const QueuedCall& queued, const HttpMessage* response);
     void retry(QueuedCall queued);
 
-    Loop& loop_;
     Done done_;
     HttpClient calls_;
     HttpClient watches_;
