--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -41,7 +41,7 @@
         // Start tag: turns given, counted from where the others stood when the flow began to wait.
         std::size_t start_tag = 0;
     };
-    // Flows that wait, or whose start tag is ahead of the virtual time.
+    // PendingQueue that wait, or whose start tag is ahead of the virtual time.
     std::map<FlowName, FlowQueue> queues_;
     std::size_t waiting_count_ = 0;
     // Virtual time: the start tag of the flow served last.
--- a/src/admission/valve.cpp
+++ b/src/admission/hysteresis_switch.cpp
@@ -1,15 +1,15 @@
-#include "admission/valve.hpp"
+#include "admission/hysteresis_switch.hpp"
 
 namespace cranemoor::admission {
 
-void Valve::set(bool on) {
+void HysteresisSwitch::set(bool on) {
     if (on != on_) {
         on_ = on;
         since_ = -1;
     }
 }
 
-bool Valve::look(double now, double wait_s, double demand) {
+bool HysteresisSwitch::look(double now, double wait_s, double demand) {
     bool turn = on_ ? wait_s < bounds_.off_wait_s && demand < bounds_.off_demand
                     : wait_s >= bounds_.on_wait_s;
     if (!turn) {
--- a/src/admission/valve.hpp
+++ b/src/admission/hysteresis_switch.hpp
@@ -3,7 +3,7 @@
 
 namespace cranemoor::admission {
 
-class Valve {
+class HysteresisSwitch {
   public:
     struct Bounds {
         double on_wait_s = 0;    // s waited from which on it is short
@@ -13,7 +13,7 @@
         double off_after_s = 0;  // s for which both must hold
     };
 
-    explicit Valve(Bounds bounds) : bounds_(bounds) {}
+    explicit HysteresisSwitch(Bounds bounds) : bounds_(bounds) {}
 
     // wait_s: what the worst off waits, in s; demand: what all ask for, as a share of the limit.
     // Returns whether it is on from here on.
--- a/src/admission/homes.cpp
+++ b/src/admission/shard_owner.cpp
@@ -1,11 +1,11 @@
-#include "admission/homes.hpp"
+#include "admission/shard_owner.hpp"
 
 #include <numeric>
 
 namespace cranemoor::admission {
 
-std::uint64_t home_of(std::uint64_t hash,
-                      const std::vector<std::pair<std::uint64_t, int>>& members) {
+std::uint64_t shard_owner(std::uint64_t hash,
+                          const std::vector<std::pair<std::uint64_t, int>>& members) {
     auto sum = std::accumulate(members.begin(), members.end(), std::uint64_t{0},
                                [](std::uint64_t all, const auto& m) {
                                    return all + static_cast<std::uint64_t>(m.second);
--- a/src/admission/homes.hpp
+++ b/src/admission/shard_owner.hpp
@@ -11,7 +11,7 @@
 
 // hash: of the block's name, the same on every member. members: id and weight (at least 1), in the
 // same order on every member. Returns the id of one of them, 0 without members.
-std::uint64_t home_of(std::uint64_t hash,
-                      const std::vector<std::pair<std::uint64_t, int>>& members);
+std::uint64_t shard_owner(std::uint64_t hash,
+                          const std::vector<std::pair<std::uint64_t, int>>& members);
 
 }  // namespace cranemoor::admission
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -4,8 +4,8 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/constants.hpp"
-#include "core/types.hpp"
+#include "core/model/constants.hpp"
+#include "core/model/types.hpp"
 
 namespace cranemoor::config {
 
--- a/src/core/fleet.cpp
+++ b/src/core/agents/fleet.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet.hpp"
+#include "core/agents/fleet.hpp"
 
 #include <algorithm>
 
--- a/src/core/fleet.hpp
+++ b/src/core/agents/fleet.hpp
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "core/context.hpp"
-#include "core/gang_preemption.hpp"
-#include "core/membership.hpp"
-#include "core/pending_task_exits.hpp"
-#include "core/quota.hpp"
+#include "core/agents/gang_preemption.hpp"
+#include "core/agents/pending_task_exits.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+#include "core/quota/quota.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -1,4 +1,4 @@
-#include "core/gang_preemption.hpp"
+#include "core/agents/gang_preemption.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/gang_preemption.hpp
+++ b/src/core/agents/gang_preemption.hpp
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "core/context.hpp"
+#include "core/context/context.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -1,10 +1,10 @@
-#include "core/pending_task_exits.hpp"
+#include "core/agents/pending_task_exits.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-#include "core/fleet.hpp"
-#include "core/job_completion.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/jobs/job_completion.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/pending_task_exits.hpp
+++ b/src/core/agents/pending_task_exits.hpp
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/batched_claims.hpp"
-#include "core/context.hpp"
-#include "core/quota.hpp"
+#include "core/context/context.hpp"
+#include "core/jobs/batched_claims.hpp"
+#include "core/quota/quota.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/provisioner.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,11 +1,11 @@
-#include "core/provisioner.hpp"
+#include "core/autoscaling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace cranemoor::core {
 
-void Provisioner::epoch_changed() {
+void Autoscaler::epoch_changed() {
     next_list_ = 0;
     if (members_.is_leader()) {
         take_over();
@@ -16,16 +16,16 @@
 }
 
 // s that the list may need to show what a rental brought
-double Provisioner::list_late_s() const {
+double Autoscaler::list_late_s() const {
     return ctx_.settings.list_lag_s * constants::list_lag_most + constants::list_every_s;
 }
 
-void Provisioner::forget_words() {
+void Autoscaler::forget_words() {
     std::erase_if(heard_,
                   [&](const auto& h) { return ctx_.now.steady - h.second.second > list_late_s(); });
 }
 
-void Provisioner::hear(const std::vector<RentalNotice>& notices) {
+void Autoscaler::hear(const std::vector<RentalNotice>& notices) {
     forget_words();
     for (const auto& notice : notices) {
         auto [it, first] = heard_.try_emplace(notice.request, notice, ctx_.now.steady);
@@ -38,7 +38,7 @@
 // Guards against machines rented twice, or idle until the list shows them, when the leading member
 // ends: what it had asked for is asked again under the same name, which rents nothing that was
 // rented, and what it was given counts at once.
-void Provisioner::take_over() {
+void Autoscaler::take_over() {
     forget_words();
     for (auto& [request, heard] : std::exchange(heard_, {})) {
         const auto& [notice, at] = heard;
@@ -58,7 +58,7 @@
 }
 
 // Machines that the list doesn't show yet.
-void Provisioner::rented(const Kind& kind, const std::vector<std::string>& machines, double age_s) {
+void Autoscaler::rented(const Kind& kind, const std::vector<std::string>& machines, double age_s) {
     const auto& [type, zone, spot] = kind;
     std::vector<ListedMachine> list;
     for (const auto& m : machines) {
@@ -69,7 +69,7 @@
     fleet_.apply_cloud_listing(list);
 }
 
-void Provisioner::tell(const std::vector<RentalNotice>& notices) const {
+void Autoscaler::tell(const std::vector<RentalNotice>& notices) const {
     if (notices.empty()) {
         return;
     }
@@ -82,7 +82,7 @@
     }
 }
 
-void Provisioner::tick() {
+void Autoscaler::tick() {
     look_at_types();
     if (!ctx_.member) {
         return;
@@ -114,13 +114,14 @@
     // Guards against a second fleet: a process that has just started knows no machines, and would
     // rent for every job as if there were none.
     if (list_read_ && t >= next_plan_) {
-        next_plan_ = t + constants::provision_every_s * flows_.rarely(constants::plan_rarely);
+        next_plan_ =
+            t + constants::provision_every_s * pending_queue_.rarely(constants::plan_rarely);
         rent();
         return_idle();
     }
 }
 
-void Provisioner::look_at_types() {
+void Autoscaler::look_at_types() {
     if (types_open_ || ctx_.now.steady < next_types_) {
         return;
     }
@@ -138,7 +139,7 @@
     });
 }
 
-void Provisioner::list(const std::string& after) {
+void Autoscaler::list(const std::string& after) {
     list_open_ = true;
     CloudCall call;
     call.kind = CloudCall::Kind::list;
@@ -159,7 +160,7 @@
 
 // --- returning ----------------------------------------------------------------------------
 
-void Provisioner::release() {
+void Autoscaler::release() {
     if (releasing_ || ctx_.now.steady < next_release_) {
         return;
     }
@@ -196,7 +197,7 @@
 // release needs no record to be safe, since nothing is concluded from this one: once there is
 // contact the machine is found silent, marked and released again, and only that answer is the
 // proof. Only who may still answer its workers does it: others may have taken them over.
-void Provisioner::release_unwritten() {
+void Autoscaler::release_unwritten() {
     if (members_.in_contact()) {
         released_unwritten_.clear();
         return;
@@ -228,7 +229,7 @@
 }
 
 // Confirmed by the cloud: written down, so that every member may take the places as empty.
-void Provisioner::write_gone(const std::set<std::string>& names) {
+void Autoscaler::write_gone(const std::set<std::string>& names) {
     Txn txn;
     txn.purpose = Txn::Purpose::mark;
     txn.conditions.push_back(ctx_.epoch_condition());
@@ -266,7 +267,7 @@
 
 // A record that was written under a larger limit can't be put again with what is gone: that is
 // said by records beside it. A machine is gone if any of its marks says so.
-void Provisioner::add_gone_apart(const Marks& old, const std::set<std::string>& names, Txn& txn) {
+void Autoscaler::add_gone_apart(const Marks& old, const std::set<std::string>& names, Txn& txn) {
     Marks apart;
     apart.why = old.why;
     apart.fence = old.fence;
@@ -296,7 +297,7 @@
     put();
 }
 
-void Provisioner::retire_marks() {
+void Autoscaler::retire_marks() {
     if (retiring_ || ctx_.now.steady < next_retire_) {
         return;
     }
@@ -340,14 +341,14 @@
 }
 
 // Whether another record of the machine doesn't say itself that it is gone.
-bool Provisioner::not_said(const std::string& key, const std::string& machine) const {
+bool Autoscaler::not_said(const std::string& key, const std::string& machine) const {
     return std::any_of(ctx_.jobs.marks().begin(), ctx_.jobs.marks().end(), [&](const auto& m) {
         return m.first != key && m.second.machines.count(machine) != 0 &&
                m.second.gone.count(machine) == 0;
     });
 }
 
-int Provisioner::headroom() const {
+int Autoscaler::headroom() const {
     // About as many machines become free as are asked for; what must be kept is the swing, which
     // is large where one job takes many machines.
     auto [sum, squares] = fleet_.whole_machine_arrivals(ctx_.now.wall - constants::arrivals_s);
@@ -356,7 +357,7 @@
     return static_cast<int>(std::ceil(std::min(asked, ctx_.tunables.headroom_machines)));
 }
 
-void Provisioner::return_idle() {
+void Autoscaler::return_idle() {
     double t = ctx_.now.steady;
     // Machines that never came up are charged until they are given back.
     for (Machine* each : fleet_.all()) {
@@ -412,7 +413,7 @@
 
 // --- renting ------------------------------------------------------------------------------
 
-std::vector<Provisioner::Bin> Provisioner::bins() const {
+std::vector<Autoscaler::Bin> Autoscaler::bins() const {
     std::vector<Bin> list;
     for (const auto& [name, m] : fleet_.machines()) {
         const MachineType* type = fleet_.type(m.type);
@@ -441,7 +442,7 @@
     return list;
 }
 
-const MachineType* Provisioner::cheapest(const JobSpec& spec) const {
+const MachineType* Autoscaler::cheapest(const JobSpec& spec) const {
     const MachineType* best = nullptr;
     for (const auto& t : fleet_.types()) {
         bool ok = !spec.types ||
@@ -453,10 +454,10 @@
     return best;
 }
 
-std::optional<std::string> Provisioner::pick_zone(const std::string& type, bool spot,
-                                                  const std::optional<std::string>& only,
-                                                  std::map<std::string, int>& load,
-                                                  const std::set<std::string>& barred) const {
+std::optional<std::string> Autoscaler::pick_zone(const std::string& type, bool spot,
+                                                 const std::optional<std::string>& only,
+                                                 std::map<std::string, int>& load,
+                                                 const std::set<std::string>& barred) const {
     const MachineType* t = fleet_.type(type);
     std::optional<std::string> best;
     for (const auto& zone : t->zones) {
@@ -472,7 +473,7 @@
     return best;
 }
 
-void Provisioner::rent() {
+void Autoscaler::rent() {
     if (rentals_.size() >= constants::rentals_open) {
         return;
     }
@@ -481,8 +482,8 @@
     for (const auto& b : plan.free) {
         plan.load[b.zone]++;
     }
-    std::vector<const Flows::Waiting*> jobs;
-    flows_.each(scheduler_.rush(), [&](const Flows::Waiting& waiting) {
+    std::vector<const PendingQueue::Waiting*> jobs;
+    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
         jobs.push_back(&waiting);
         return true;
     });
@@ -505,7 +506,7 @@
 }
 
 // Finds room for each of the job's tasks that is still to be placed, or wants a machine for it.
-void Provisioner::plan_job(Plan& plan, const Flows::Waiting& waiting) {
+void Autoscaler::plan_job(Plan& plan, const PendingQueue::Waiting& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     const MachineType* type = cheapest(s);
@@ -545,8 +546,8 @@
     }
 }
 
-Provisioner::Need Provisioner::need_of(Plan& plan, const Flows::Waiting& waiting,
-                                       const MachineType& type) const {
+Autoscaler::Need Autoscaler::need_of(Plan& plan, const PendingQueue::Waiting& waiting,
+                                     const MachineType& type) const {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     Need need;
@@ -574,7 +575,7 @@
     return need;
 }
 
-bool Provisioner::takes(const Bin& b, const Need& need) const {
+bool Autoscaler::takes(const Bin& b, const Need& need) const {
     const JobSpec& s = *need.spec;
     bool type_ok =
         !s.types || std::find(s.types->begin(), s.types->end(), b.type) != s.types->end();
@@ -584,8 +585,8 @@
            s.each.fits_in(scraps ? Scheduler::leftover(*t, b.room) : b.room);
 }
 
-std::size_t Provisioner::next(const Plan& plan, const Need& need, const std::string& zone,
-                              std::size_t from) const {
+std::size_t Autoscaler::next(const Plan& plan, const Need& need, const std::string& zone,
+                             std::size_t from) const {
     while (from < plan.free.size() &&
            (plan.free[from].zone != zone || !takes(plan.free[from], need))) {
         ++from;
@@ -594,7 +595,7 @@
 }
 
 // The zone with most room, so that little must be rented beside it.
-std::optional<std::string> Provisioner::roomiest_zone(Plan& plan, const Need& need) const {
+std::optional<std::string> Autoscaler::roomiest_zone(Plan& plan, const Need& need) const {
     std::optional<std::string> best;
     int most = 0;
     for (const auto& zone : need.type->zones) {
@@ -613,7 +614,7 @@
 
 // The first bin that takes a task, or the end. Names the zones in which the job has all that its
 // spread allows.
-std::size_t Provisioner::find_room(Plan& plan, Need& need, std::set<std::string>& barred) const {
+std::size_t Autoscaler::find_room(Plan& plan, Need& need, std::set<std::string>& barred) const {
     const JobSpec& s = *need.spec;
     std::size_t found = plan.free.size();
     for (const auto& zone : need.type->zones) {
@@ -632,7 +633,7 @@
 }
 
 // Wants one more machine for the job, as the last bin; false if none can be had now.
-bool Provisioner::want(Plan& plan, const Need& need, const std::set<std::string>& barred) const {
+bool Autoscaler::want(Plan& plan, const Need& need, const std::set<std::string>& barred) const {
     bool spot = need.spec->spot;
     const auto& type = need.type->name;
     auto zone = pick_zone(type, spot, need.only, plan.load, barred);
@@ -649,7 +650,7 @@
     return true;
 }
 
-const MachineType* Provisioner::base_type() const {
+const MachineType* Autoscaler::base_type() const {
     const MachineType* base = nullptr;
     for (const auto& t : fleet_.types()) {
         base = base == nullptr || t.price < base->price ? &t : base;
@@ -658,7 +659,7 @@
 }
 
 // Whole empty machines for work that has not come yet.
-void Provisioner::plan_headroom(Plan& plan) const {
+void Autoscaler::plan_headroom(Plan& plan) const {
     const MachineType* base = base_type();
     double spare = 0;
     for (const auto& b : plan.free) {
@@ -675,7 +676,7 @@
 }
 
 // The same for work that may use cheap machines.
-void Provisioner::plan_cheap_headroom(Plan& plan) const {
+void Autoscaler::plan_cheap_headroom(Plan& plan) const {
     const MachineType* base = base_type();
     double cheap = 0;
     for (const auto& b : plan.free) {
@@ -690,7 +691,7 @@
     }
 }
 
-void Provisioner::order(const Plan& plan) {
+void Autoscaler::order(const Plan& plan) {
     std::vector<RentalNotice> notices;
     for (const auto& [kind, count] : plan.wanted) {
         for (int left = std::min(count, constants::rental_look); left > 0;
@@ -708,7 +709,7 @@
     tell(notices);
 }
 
-void Provisioner::send(Rental& rental) {
+void Autoscaler::send(Rental& rental) {
     rental.open = true;
     const auto& [type, zone, spot] = rental.kind;
     CloudCall call;
--- a/src/core/provisioner.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -1,4 +1,4 @@
-// Provisioner: the leading member's dealings with the cloud. Rents for demand and headroom,
+// Autoscaler: the leading member's dealings with the cloud. Rents for demand and headroom,
 // returns what is marked, and keeps the list of machines up to date on every member.
 #pragma once
 
@@ -8,25 +8,25 @@
 #include <tuple>
 #include <vector>
 
-#include "core/context.hpp"
-#include "core/fleet.hpp"
-#include "core/flows.hpp"
-#include "core/membership.hpp"
-#include "core/quota.hpp"
-#include "core/scheduler.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+#include "core/quota/quota.hpp"
+#include "core/scheduling/pending_queue.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 namespace cranemoor::core {
 
-class Provisioner {
+class Autoscaler {
   public:
-    Provisioner(Context& ctx, Membership& members, Fleet& fleet, Scheduler& scheduler, Quota& quota,
-                const Flows& flows)
+    Autoscaler(Context& ctx, Membership& members, Fleet& fleet, Scheduler& scheduler, Quota& quota,
+               const PendingQueue& flows)
         : ctx_(ctx),
           members_(members),
           fleet_(fleet),
           scheduler_(scheduler),
           quota_(quota),
-          flows_(flows) {}
+          pending_queue_(flows) {}
 
     void tick();
     void epoch_changed();
@@ -81,8 +81,8 @@
     bool not_said(const std::string& key, const std::string& machine) const;
     void retire_marks();
     void rent();
-    void plan_job(Plan& plan, const Flows::Waiting& waiting);
-    Need need_of(Plan& plan, const Flows::Waiting& waiting, const MachineType& type) const;
+    void plan_job(Plan& plan, const PendingQueue::Waiting& waiting);
+    Need need_of(Plan& plan, const PendingQueue::Waiting& waiting, const MachineType& type) const;
     bool takes(const Bin& bin, const Need& need) const;
     std::size_t next(const Plan& plan, const Need& need, const std::string& zone,
                      std::size_t from) const;
@@ -116,7 +116,7 @@
     Fleet& fleet_;
     Scheduler& scheduler_;
     Quota& quota_;
-    const Flows& flows_;
+    const PendingQueue& pending_queue_;
     bool types_open_ = false;
     double next_types_ = 0;
     bool list_open_ = false;
--- a/src/core/context.hpp
+++ b/src/core/context/context.hpp
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "core/actions.hpp"
-#include "core/constants.hpp"
-#include "core/jobs.hpp"
-#include "core/pressure.hpp"
-#include "core/types.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/constants.hpp"
+#include "core/model/types.hpp"
+#include "core/overload/overload_detector.hpp"
+#include "core/store/jobs.hpp"
 
 namespace cranemoor::core {
 
@@ -31,7 +31,7 @@
 
     void state(StateCall call, StateDone done) {
         call.id = ++next_id_;
-        pressure.began(call.id, call.txn, now.steady);
+        overload.began(call.id, call.txn, now.steady);
         state_done_[call.id] = std::move(done);
         out.emplace_back(std::move(call));
     }
@@ -90,7 +90,7 @@
     }
 
     void state_reply(std::uint64_t id, const StateReply& r) {
-        pressure.ended(id, r.status, now.steady);
+        overload.ended(id, r.status, now.steady);
         finish(state_done_, id, r);
     }
     void cloud_reply(std::uint64_t id, const CloudReply& r) { finish(cloud_done_, id, r); }
@@ -148,7 +148,7 @@
     const std::string boot;
     Now now;
     Jobs jobs;
-    Pressure pressure;
+    OverloadDetector overload;
     std::vector<Action> out;
 
     // Whether the copy is what was true at some moment. It is not while everything is read anew,
@@ -163,7 +163,7 @@
     Token fencing_token = 0;
     // A value that only the old limits allow was refused.
     bool limits_dropped = false;
-    // Jobs one of whose block records has become too large to be put: see Conversion.
+    // Jobs one of whose block records has become too large to be put: see OversizedBlockSplit.
     std::set<std::string> to_part;
     // Records of marks that this process made, as part of their keys.
     std::uint64_t marks_made = 0;
--- a/src/core/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "core/controller.hpp"
+#include "core/controller/controller.hpp"
 
 namespace cranemoor::core {
 
@@ -8,27 +8,27 @@
       quota_(ctx_),
       batched_claims_(ctx_),
       fleet_(ctx_, members_, quota_, batched_claims_),
-      flows_(ctx_, fleet_),
+      pending_queue_(ctx_, fleet_),
       admission_table_sync_(ctx_, members_, fleet_),
-      scheduler_(ctx_, members_, fleet_, quota_, flows_, batched_claims_),
-      preemption_(ctx_, members_, fleet_, scheduler_, quota_, flows_),
-      provisioner_(ctx_, members_, fleet_, scheduler_, quota_, flows_),
+      scheduler_(ctx_, members_, fleet_, quota_, pending_queue_, batched_claims_),
+      preemption_(ctx_, members_, fleet_, scheduler_, quota_, pending_queue_),
+      autoscaler_(ctx_, members_, fleet_, scheduler_, quota_, pending_queue_),
       job_completion_(ctx_, members_),
       dependencies_(ctx_, members_),
       requests_(ctx_, members_, fleet_, quota_, dependencies_),
-      conversion_(ctx_) {
+      oversized_block_split_(ctx_) {
     members_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
         if (epoch_changed) {
             fleet_.epoch_changed(before);
             scheduler_.epoch_changed();
-            provisioner_.epoch_changed();
+            autoscaler_.epoch_changed();
         }
         auto touched = ctx_.jobs.take_touched_jobs();
         dependencies_.records_changed(touched);
         touched.merge(ctx_.jobs.take_touched_jobs());  // whose priority that changed
-        flows_.records_changed(touched);
+        pending_queue_.records_changed(touched);
         if (epoch_changed) {
-            flows_.epoch_changed();
+            pending_queue_.epoch_changed();
         }
         scheduler_.records_changed(touched);
         preemption_.records_changed(touched);
@@ -39,7 +39,7 @@
 void Controller::start(Now now) {
     ctx_.now = now;
     members_.start();
-    provisioner_.tick();
+    autoscaler_.tick();
 }
 
 void Controller::tick(Now now) {
@@ -53,15 +53,15 @@
     }
     admission_table_sync_.tick();
     batched_claims_.tick();
-    flows_.tick();
-    conversion_.tick();
+    pending_queue_.tick();
+    oversized_block_split_.tick();
     dependencies_.tick();
     fleet_.tick();
     job_completion_.tick();
     scheduler_.tick();
     preemption_.tick();
     quota_.tick();
-    provisioner_.tick();
+    autoscaler_.tick();
     requests_.tick();
 }
 
@@ -101,7 +101,7 @@
     ctx_.now = now;
     bool heartbeat = !message.relay && message.rentals.empty();
     members_.peer_message(peer, message.state_contact, heartbeat, message.lease);
-    provisioner_.hear(message.rentals);
+    autoscaler_.hear(message.rentals);
     if (message.pressure) {
         admission_table_sync_.on_pressure_sample(peer, *message.pressure);
     }
--- a/src/core/controller.hpp
+++ b/src/core/controller/controller.hpp
@@ -5,20 +5,20 @@
 #include <string>
 #include <vector>
 
-#include "core/admission_table_sync.hpp"
-#include "core/batched_claims.hpp"
-#include "core/context.hpp"
-#include "core/conversion.hpp"
-#include "core/dependencies.hpp"
-#include "core/fleet.hpp"
-#include "core/flows.hpp"
-#include "core/job_completion.hpp"
-#include "core/membership.hpp"
-#include "core/preemption.hpp"
-#include "core/provisioner.hpp"
-#include "core/quota.hpp"
-#include "core/requests.hpp"
-#include "core/scheduler.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/autoscaling/autoscaler.hpp"
+#include "core/context/context.hpp"
+#include "core/jobs/batched_claims.hpp"
+#include "core/jobs/dependencies.hpp"
+#include "core/jobs/job_completion.hpp"
+#include "core/jobs/oversized_block_split.hpp"
+#include "core/membership/membership.hpp"
+#include "core/quota/quota.hpp"
+#include "core/requests/requests.hpp"
+#include "core/scheduling/admission_table_sync.hpp"
+#include "core/scheduling/pending_queue.hpp"
+#include "core/scheduling/preemption.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 namespace cranemoor::core {
 
@@ -59,15 +59,15 @@
     Quota quota_;
     BatchedClaims batched_claims_;
     Fleet fleet_;
-    Flows flows_;
+    PendingQueue pending_queue_;
     AdmissionTableSync admission_table_sync_;
     Scheduler scheduler_;
     Preemption preemption_;
-    Provisioner provisioner_;
+    Autoscaler autoscaler_;
     JobCompletion job_completion_;
     Dependencies dependencies_;
     Requests requests_;
-    Conversion conversion_;
+    OversizedBlockSplit oversized_block_split_;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -1,9 +1,9 @@
-#include "core/batched_claims.hpp"
+#include "core/jobs/batched_claims.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-#include "admission/homes.hpp"
+#include "admission/shard_owner.hpp"
 
 namespace cranemoor::core {
 
@@ -50,7 +50,7 @@
         return true;
     }
     auto hash = stable_hash(fmt::format("{}/{}", job.spec.uid, block));
-    return admission::home_of(hash, weighted_members(job.spec.zone)) == ctx_.me.id;
+    return admission::shard_owner(hash, weighted_members(job.spec.zone)) == ctx_.me.id;
 }
 
 Condition BatchedClaims::table_condition() const {
--- a/src/core/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -2,8 +2,8 @@
 // claims and completions of many job-array tasks are written together into one shared record per
 // controller (`keys::sheet`, stored type `Sheet`) instead of one record per block. Claims in
 // different records cannot see each other, so each block of such a job is assigned one owning
-// controller (weighted rendezvous hashing, `admission::home_of`), and only that controller claims
-// from it. Writes whose outcome is unknown are resolved before the record is used again.
+// controller (weighted rendezvous hashing, `admission::shard_owner`), and only that controller
+// claims from it. Writes whose outcome is unknown are resolved before the record is used again.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/context.hpp"
+#include "core/context/context.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -1,9 +1,9 @@
-#include "core/dependencies.hpp"
+#include "core/jobs/dependencies.hpp"
 
 #include <algorithm>
 #include <deque>
 
-#include "core/job_completion.hpp"
+#include "core/jobs/job_completion.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/dependencies.hpp
+++ b/src/core/jobs/dependencies.hpp
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/budget.hpp"
-#include "core/context.hpp"
-#include "core/membership.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+#include "core/model/budget.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -1,4 +1,4 @@
-#include "core/job_completion.hpp"
+#include "core/jobs/job_completion.hpp"
 
 #include <algorithm>
 
--- a/src/core/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "core/context.hpp"
-#include "core/membership.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/conversion.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -1,4 +1,4 @@
-#include "core/conversion.hpp"
+#include "core/jobs/oversized_block_split.hpp"
 
 namespace cranemoor::core {
 
@@ -30,7 +30,7 @@
     return std::min(block_tasks(ctx) * blocks, fit);
 }
 
-void Conversion::tick() {
+void OversizedBlockSplit::tick() {
     if (!ctx_.member || ctx_.to_part.empty()) {
         return;
     }
@@ -49,7 +49,7 @@
 // One small write turns a job's block records into what its pages are made from. Each page comes
 // with the first change of its tasks, conditional on the records it is made from: no step needs
 // more than one value, and a crash between two of them loses nothing.
-void Conversion::part(const Job& job) {
+void OversizedBlockSplit::part(const Job& job) {
     JobRecord record = job.record();
     record.page_size = block_tasks(ctx_);
     std::size_t room = ctx_.value_max() - constants::block_frame_bytes;
--- a/src/core/conversion.hpp
+++ b/src/core/jobs/oversized_block_split.hpp
@@ -1,10 +1,11 @@
-// Conversion: parts jobs whose block records, written under a larger limit, can't be put any more.
+// OversizedBlockSplit: parts jobs whose block records, written under a larger limit, can't be put
+// any more.
 #pragma once
 
 #include <set>
 #include <string>
 
-#include "core/context.hpp"
+#include "core/context/context.hpp"
 
 namespace cranemoor::core {
 
@@ -14,9 +15,9 @@
 // Tasks of the largest gang that one transaction can claim: larger ones can never start whole.
 int largest_gang(const Context& ctx);
 
-class Conversion {
+class OversizedBlockSplit {
   public:
-    explicit Conversion(Context& ctx) : ctx_(ctx) {}
+    explicit OversizedBlockSplit(Context& ctx) : ctx_(ctx) {}
 
     void tick();
 
--- a/src/core/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "core/membership.hpp"
+#include "core/membership/membership.hpp"
 
 #include <algorithm>
 
@@ -381,7 +381,7 @@
         PeerCall call;
         call.peer = p.name;
         call.state_contact = had_contact_;
-        call.pressure = ctx_.pressure.sample(t);
+        call.pressure = ctx_.overload.sample(t);
         call.lease = lease_heartbeat(p.name, known);
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
--- a/src/core/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "core/context.hpp"
+#include "core/context/context.hpp"
 #include "read_leases/read_leases.hpp"
 #include "read_leases/safe_time.hpp"
 
--- a/src/core/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -8,8 +8,8 @@
 #include <variant>
 #include <vector>
 
-#include "core/constants.hpp"
-#include "core/types.hpp"
+#include "core/model/constants.hpp"
+#include "core/model/types.hpp"
 #include "read_leases/read_leases.hpp"
 
 namespace cranemoor::core {
--- a/src/core/pressure.cpp
+++ b/src/core/overload/overload_detector.cpp
@@ -1,11 +1,11 @@
-#include "core/pressure.hpp"
+#include "core/overload/overload_detector.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::core {
 
@@ -14,13 +14,13 @@
     "other", "accepted", "cancelled", "claims", "ends", "finals", "marks", "sheets"};
 }  // namespace
 
-void Pressure::began(std::uint64_t id, const Txn& txn, double now) {
+void OverloadDetector::began(std::uint64_t id, const Txn& txn, double now) {
     if (!txn.writes.empty()) {
         open_[id] = {now, txn.writes.size(), txn.spared, txn.purpose, txn.urgency != Urgency::last};
     }
 }
 
-void Pressure::ended(std::uint64_t id, StateReply::Status status, double now) {
+void OverloadDetector::ended(std::uint64_t id, StateReply::Status status, double now) {
     auto it = open_.find(id);
     if (it == open_.end()) {
         return;
@@ -39,7 +39,7 @@
     open_.erase(it);
 }
 
-double Pressure::write_wait_s(double now) const {
+double OverloadDetector::write_wait_s(double now) const {
     double wait = took_s_;
     for (const auto& [id, o] : open_) {
         if (o.waited_for) {
@@ -50,12 +50,12 @@
     return wait;
 }
 
-PressureSample Pressure::sample(double now) const {
+PressureSample OverloadDetector::sample(double now) const {
     double rate = rate_ * std::exp(-std::max(0.0, now - rate_at_) / constants::pressure_rate_s);
     return {write_wait_s(now), rate};
 }
 
-std::string Pressure::take_words(double now) {
+std::string OverloadDetector::take_words(double now) {
     double passed = std::max(1e-3, now - words_at_);
     std::size_t all = 0;
     std::string by;
--- a/src/core/pressure.hpp
+++ b/src/core/overload/overload_detector.hpp
@@ -1,4 +1,4 @@
-// Pressure: what this process runs short of, measured where it is used.
+// OverloadDetector: what this process runs short of, measured where it is used.
 #pragma once
 
 #include <array>
@@ -6,11 +6,11 @@
 #include <map>
 #include <string>
 
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 
 namespace cranemoor::core {
 
-class Pressure {
+class OverloadDetector {
   public:
     void began(std::uint64_t id, const Txn& txn, double now);
     void ended(std::uint64_t id, StateReply::Status status, double now);
--- a/src/core/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -1,4 +1,4 @@
-#include "core/quota.hpp"
+#include "core/quota/quota.hpp"
 
 #include <algorithm>
 
--- a/src/core/quota.hpp
+++ b/src/core/quota/quota.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "core/context.hpp"
+#include "core/context/context.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/requests.cpp
+++ b/src/core/requests/requests.cpp
@@ -1,9 +1,9 @@
-#include "core/requests.hpp"
+#include "core/requests/requests.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-#include "core/conversion.hpp"
+#include "core/jobs/oversized_block_split.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/requests.hpp
+++ b/src/core/requests/requests.hpp
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "admission/admission_controller.hpp"
-#include "core/budget.hpp"
-#include "core/context.hpp"
-#include "core/dependencies.hpp"
-#include "core/fleet.hpp"
-#include "core/membership.hpp"
-#include "core/quota.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/jobs/dependencies.hpp"
+#include "core/membership/membership.hpp"
+#include "core/model/budget.hpp"
+#include "core/quota/quota.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -1,4 +1,4 @@
-#include "core/admission_table_sync.hpp"
+#include "core/scheduling/admission_table_sync.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,7 @@
     next_tick_s_ = t + constants::accord_every_s;
     if (t >= next_pressure_log_s_) {
         next_pressure_log_s_ = t + constants::pressure_word_every_s;
-        ctx_.info("pressure: {}", ctx_.pressure.take_words(t));
+        ctx_.info("pressure: {}", ctx_.overload.take_words(t));
     }
     if (membership_.is_leader() && membership_.in_contact() && ctx_.upgraded(level_now)) {
         update_table();
@@ -34,7 +34,7 @@
 
 void AdmissionTableSync::update_table() {
     double t = ctx_.now.steady;
-    PressureSample mine = ctx_.pressure.sample(t);
+    PressureSample mine = ctx_.overload.sample(t);
     double wait = mine.write_wait_s;
     double writes = mine.writes;
     for (const auto& [name, h] : samples_by_peer_) {
--- a/src/core/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -7,11 +7,11 @@
 #include <map>
 #include <string>
 
+#include "admission/hysteresis_switch.hpp"
 #include "admission/table.hpp"
-#include "admission/valve.hpp"
-#include "core/context.hpp"
-#include "core/fleet.hpp"
-#include "core/membership.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
 
 namespace cranemoor::core {
 
@@ -41,7 +41,7 @@
     const Membership& membership_;
     const Fleet& fleet_;
     std::map<std::string, PeerSample> samples_by_peer_;  // by member's name
-    admission::Valve write_scarcity_;                    // hysteresis on whether writes are scarce
+    admission::HysteresisSwitch write_scarcity_;         // hysteresis on whether writes are scarce
     bool write_in_flight_ = false;
     double next_tick_s_ = 0;          // steady times, in seconds
     double next_refresh_s_ = 0;       // of the next rewrite of an unchanged table
--- a/src/core/flows.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -1,4 +1,4 @@
-#include "core/flows.hpp"
+#include "core/scheduling/pending_queue.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 }
 }  // namespace
 
-bool Flows::Earlier::operator()(const Waiting* a, const Waiting* b) const {
+bool PendingQueue::Earlier::operator()(const Waiting* a, const Waiting* b) const {
     // Of equals each member first takes those that are its own to place: members that claim
     // from the same job at once fail each other.
     bool a_home = a->turn == 0;
@@ -27,7 +27,7 @@
            std::tie(b_came, b->image, b->came_wall, b->uid);
 }
 
-void Flows::epoch_changed() {
+void PendingQueue::epoch_changed() {
     if (!current()) {
         return;
     }
@@ -40,7 +40,7 @@
     }
 }
 
-void Flows::records_changed(const std::set<std::string>& touched) {
+void PendingQueue::records_changed(const std::set<std::string>& touched) {
     if (!current()) {
         if (ctx_.jobs.loaded()) {
             read_again();
@@ -68,7 +68,7 @@
 }
 
 // All records were read anew: what is known here names jobs of the copy before.
-void Flows::read_again() {
+void PendingQueue::read_again() {
     loads_ = ctx_.jobs.loads();
     auto before = std::exchange(waiting_, {});
     lanes_.clear();
@@ -78,7 +78,7 @@
     }
 }
 
-void Flows::remove(const std::string& uid) {
+void PendingQueue::remove(const std::string& uid) {
     auto it = waiting_.find(uid);
     if (it != waiting_.end()) {
         lanes_[{it->second->team, it->second->priority}].erase(it->second.get());
@@ -86,7 +86,7 @@
     }
 }
 
-void Flows::add(const Job& job, double since) {
+void PendingQueue::add(const Job& job, double since) {
     auto w = std::make_unique<Waiting>();
     w->job = &job;
     w->uid = job.spec.uid;
@@ -107,22 +107,22 @@
 
 // What decides whether a task fits a machine, apart from zone rules that depend on its job's
 // other tasks, as a number: names would be compared over and over.
-int Flows::demands(const JobSpec& s) {
+int PendingQueue::demands(const JobSpec& s) {
     auto text = fmt::format("{}|{}|{}|{}|{}|{}|{}", s.each.cpus, s.each.gpus, s.each.memory_gb,
                             s.spot, s.priority == Priority::best_effort, s.zone ? *s.zone : "",
                             s.types ? fmt::format("{}", fmt::join(*s.types, ",")) : "");
     return demands_.try_emplace(std::move(text), static_cast<int>(demands_.size())).first->second;
 }
 
-double Flows::rarely(double most) const {
+double PendingQueue::rarely(double most) const {
     return std::clamp(static_cast<double>(waiting_.size()) / constants::plan_jobs, 1.0, most);
 }
 
-bool Flows::paused(const Waiting& w) const {
+bool PendingQueue::paused(const Waiting& w) const {
     return w.job->fails > 0 && ctx_.now.steady < fleet_.job_pause_until(w.uid);
 }
 
-double Flows::dominant(const Resources& amount) const {
+double PendingQueue::dominant(const Resources& amount) const {
     if (fleet_.types().empty()) {
         return std::max(amount.gpus, amount.cpus);
     }
@@ -132,7 +132,7 @@
 
 // A zone is drawn first, so that each zone's machines get their share whatever the number of
 // members in it.
-std::size_t Flows::turn(const Job& job) const {
+std::size_t PendingQueue::turn(const Job& job) const {
     const auto& epoch = ctx_.jobs.epoch();
     if (!epoch) {
         return 0;
@@ -149,7 +149,7 @@
 
 // The settings carry no weights: a team weighs what it is guaranteed, else 1. Amounts are compared
 // by the resource of which they take most: a team may use CPUs alone.
-double Flows::weight(const std::string& team) const {
+double PendingQueue::weight(const std::string& team) const {
     for (const auto& t : ctx_.settings.teams) {
         if (t.name == team && dominant(t.guarantee) > 0) {
             return dominant(t.guarantee);
@@ -158,8 +158,8 @@
     return 1.0;
 }
 
-// Flows that have tasks to place, without jobs that are likely to fail again.
-std::vector<admission::WaitingFlow> Flows::waiting_flows() const {
+// PendingQueue that have tasks to place, without jobs that are likely to fail again.
+std::vector<admission::WaitingFlow> PendingQueue::waiting_flows() const {
     std::map<admission::FlowName, admission::WaitingFlow> flows;
     for (const auto& [uid, w] : waiting_) {
         if (w->job->doubtful()) {
@@ -184,7 +184,7 @@
 
 // Guards against a class that waits for as long as others of its team, or of teams further below
 // their guarantee, ask for all room there is: within a team priority alone would decide.
-void Flows::tick() {
+void PendingQueue::tick() {
     if (!current() || ctx_.now.steady < next_look_) {
         return;
     }
@@ -229,7 +229,7 @@
 
 // Teams below their guarantee first, the furthest first, others by share over weight; idle work
 // beyond a guarantee after everybody else's. In a team by priority.
-std::vector<const Flows::Lane*> Flows::lanes(bool rush) const {
+std::vector<const PendingQueue::Lane*> PendingQueue::lanes(bool rush) const {
     struct Rank {
         bool leftover = false;
         bool above = true;
--- a/src/core/flows.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -1,5 +1,5 @@
-// Flows: the jobs that have tasks to place, in the order in which they are looked at. Kept up to
-// date by the change stream, so that a look costs what it visits and not what waits.
+// PendingQueue: the jobs that have tasks to place, in the order in which they are looked at. Kept
+// up to date by the change stream, so that a look costs what it visits and not what waits.
 #pragma once
 
 #include <map>
@@ -11,12 +11,12 @@
 #include <vector>
 
 #include "admission/min_share.hpp"
-#include "core/context.hpp"
-#include "core/fleet.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
 
 namespace cranemoor::core {
 
-class Flows {
+class PendingQueue {
   public:
     // An open job, with what every look at it needs.
     struct Waiting {
@@ -35,7 +35,7 @@
         int demands = 0;         // equal for jobs that fit the same machines
     };
 
-    Flows(Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
+    PendingQueue(Context& ctx, const Fleet& fleet) : ctx_(ctx), fleet_(fleet) {}
 
     void epoch_changed();
     // touched: jobs that changed
--- a/src/core/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -1,4 +1,4 @@
-#include "core/preemption.hpp"
+#include "core/scheduling/preemption.hpp"
 
 #include <algorithm>
 
@@ -15,8 +15,8 @@
 
 void Preemption::tick() {
     if (ctx_.member && members_.in_contact() && ctx_.now.steady >= next_look_) {
-        next_look_ =
-            ctx_.now.steady + constants::preempt_every_s * flows_.rarely(constants::preempt_rarely);
+        next_look_ = ctx_.now.steady +
+                     constants::preempt_every_s * pending_queue_.rarely(constants::preempt_rarely);
         look();
     }
 }
@@ -33,7 +33,7 @@
 }
 
 bool Preemption::may_preempt(const Job& job, const Job& victim, double waited) const {
-    if (flows_.lack(victim.spec.team, victim.spec.job_class) > 0) {
+    if (pending_queue_.lack(victim.spec.team, victim.spec.job_class) > 0) {
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
@@ -105,7 +105,7 @@
 
 void Preemption::look() {
     int looked = 0;
-    flows_.each(scheduler_.rush(), [&](const Flows::Waiting& waiting) {
+    pending_queue_.each(scheduler_.rush(), [&](const PendingQueue::Waiting& waiting) {
         if (may_look(waiting)) {
             ++looked;
             make_room(waiting);
@@ -114,7 +114,7 @@
     });
 }
 
-bool Preemption::may_look(const Flows::Waiting& waiting) const {
+bool Preemption::may_look(const PendingQueue::Waiting& waiting) const {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     double stagger = constants::preempt_pause_s * static_cast<double>(waiting.turn);
@@ -144,7 +144,7 @@
 }
 
 // Stops what loses least, where it helps the job most.
-void Preemption::make_room(const Flows::Waiting& waiting) {
+void Preemption::make_room(const PendingQueue::Waiting& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     double waited = ctx_.now.steady - waiting.open_since;
--- a/src/core/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -7,25 +7,25 @@
 #include <string>
 #include <vector>
 
-#include "core/context.hpp"
-#include "core/fleet.hpp"
-#include "core/flows.hpp"
-#include "core/membership.hpp"
-#include "core/quota.hpp"
-#include "core/scheduler.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/membership/membership.hpp"
+#include "core/quota/quota.hpp"
+#include "core/scheduling/pending_queue.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 namespace cranemoor::core {
 
 class Preemption {
   public:
     Preemption(Context& ctx, const Membership& members, Fleet& fleet, Scheduler& scheduler,
-               const Quota& quota, const Flows& flows)
+               const Quota& quota, const PendingQueue& flows)
         : ctx_(ctx),
           members_(members),
           fleet_(fleet),
           scheduler_(scheduler),
           quota_(quota),
-          flows_(flows) {}
+          pending_queue_(flows) {}
 
     // touched: jobs that changed
     void records_changed(const std::set<std::string>& touched);
@@ -40,9 +40,9 @@
     };
 
     void look();
-    bool may_look(const Flows::Waiting& waiting) const;
+    bool may_look(const PendingQueue::Waiting& waiting) const;
     bool may_serve(const Job& job, int block, const Machine& m) const;
-    void make_room(const Flows::Waiting& waiting);
+    void make_room(const PendingQueue::Waiting& waiting);
     void stop(Machine& m, const Job& job, const TaskId& id);
     bool may_preempt(const Job& job, const Job& victim, double waited) const;
     std::optional<Victims> victims_on(Machine& m, const Job& job, double waited) const;
@@ -53,7 +53,7 @@
     Fleet& fleet_;
     Scheduler& scheduler_;
     const Quota& quota_;
-    const Flows& flows_;
+    const PendingQueue& pending_queue_;
     std::map<std::string, double> preempted_at_;  // by job that room was made for
     double next_look_ = 0;
 };
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "core/scheduler.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -109,7 +109,7 @@
 
 // Whether a machine in use has room for small work that would otherwise break into an empty one.
 bool Scheduler::better_elsewhere(Round& round, const Offer& offer,
-                                 const Flows::Waiting& waiting) const {
+                                 const PendingQueue::Waiting& waiting) const {
     const Job& job = *waiting.job;
     if (!offer.empty || offer.machine->spot) {
         return false;
@@ -131,7 +131,7 @@
 // Whether work that may run on cheap machines should leave an empty ordinary one alone: a cheap
 // one is there or on its way.
 bool Scheduler::cheap_coming(Round& round, const Offer& offer,
-                             const Flows::Waiting& waiting) const {
+                             const PendingQueue::Waiting& waiting) const {
     const Job& job = *waiting.job;
     if (offer.machine->spot || !job.spec.spot || job.spec.checkpoint_s <= 0 ||
         job.spec.priority > Priority::normal || !offer.empty) {
@@ -202,7 +202,7 @@
     if (ctx_.jobs.open().empty()) {
         return;
     }
-    flows_.each(rush(), [&](const Flows::Waiting& waiting) {
+    pending_queue_.each(rush(), [&](const PendingQueue::Waiting& waiting) {
         if (blocks_open_ >= constants::claim_blocks_open) {
             return false;
         }
@@ -226,7 +226,7 @@
     }
 }
 
-void Scheduler::walk(Round& round, const Flows::Waiting& waiting) {
+void Scheduler::walk(Round& round, const PendingQueue::Waiting& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     bool gang = s.kind == JobKind::gang && job.done() == 0;
@@ -292,7 +292,7 @@
 // Whether waiting may find the job machines with its image, for a gang as many as it has tasks:
 // such that have room, or where work is expected to end before W is over. Waiting for others
 // would cost a start its time.
-bool Scheduler::local_chance(Round& round, const Flows::Waiting& waiting) const {
+bool Scheduler::local_chance(Round& round, const PendingQueue::Waiting& waiting) const {
     const Job& job = *waiting.job;
     bool gang = job.spec.kind == JobKind::gang && job.done() == 0;
     int needed = gang ? job.spec.tasks : 1;
@@ -470,7 +470,7 @@
 // Whole or not at all: every block of the job goes into one transaction, so that one controller
 // starts it, also on machines of others, which launch what the records say. Returns whether the
 // job's room is there, or is not what it lacks.
-bool Scheduler::claim_gang(Round& round, const Flows::Waiting& waiting) {
+bool Scheduler::claim_gang(Round& round, const PendingQueue::Waiting& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     std::pair<int, int> size{s.tasks, waiting.demands};
@@ -793,7 +793,7 @@
 
 // The first gang in its team's order holds the machines of ours that will be empty soonest, for
 // a set time: then others have a turn, and a gang that can't be helped that way keeps nothing idle.
-void Scheduler::hold_for(Round& round, const Flows::Waiting& waiting) {
+void Scheduler::hold_for(Round& round, const PendingQueue::Waiting& waiting) {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
     if (job.doubtful() || waiting.turn != 0) {
@@ -890,7 +890,7 @@
     if (!ctx_.member || !members_.in_contact()) {
         return;
     }
-    double every = constants::round_every_s * flows_.rarely(constants::round_rarely);
+    double every = constants::round_every_s * pending_queue_.rarely(constants::round_rarely);
     if (ctx_.now.steady - last_round_ >= every) {
         round();
     }
--- a/src/core/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -12,24 +12,24 @@
 #include <utility>
 #include <vector>
 
-#include "core/batched_claims.hpp"
-#include "core/context.hpp"
-#include "core/fleet.hpp"
-#include "core/flows.hpp"
-#include "core/membership.hpp"
-#include "core/quota.hpp"
+#include "core/agents/fleet.hpp"
+#include "core/context/context.hpp"
+#include "core/jobs/batched_claims.hpp"
+#include "core/membership/membership.hpp"
+#include "core/quota/quota.hpp"
+#include "core/scheduling/pending_queue.hpp"
 
 namespace cranemoor::core {
 
 class Scheduler {
   public:
-    Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota, const Flows& flows,
-              BatchedClaims& sheets)
+    Scheduler(Context& ctx, Membership& members, Fleet& fleet, Quota& quota,
+              const PendingQueue& flows, BatchedClaims& sheets)
         : ctx_(ctx),
           members_(members),
           fleet_(fleet),
           quota_(quota),
-          flows_(flows),
+          pending_queue_(flows),
           sheets_(sheets) {}
 
     void epoch_changed();
@@ -124,15 +124,15 @@
 
     void round();
     void gather(Round& round, bool mine) const;
-    void walk(Round& round, const Flows::Waiting& waiting);
+    void walk(Round& round, const PendingQueue::Waiting& waiting);
     int claim_tasks(const Job& job, const std::vector<Choice>& choices);
-    bool claim_gang(Round& round, const Flows::Waiting& waiting);
+    bool claim_gang(Round& round, const PendingQueue::Waiting& waiting);
     std::map<int, Block> next_attempt(const Job& job) const;
     GangPlaces gang_places(Round& round, const Job& job) const;
     static GangPlaces fill(const std::vector<Choice>& choices, const JobSpec& spec);
     bool enter_places(const Job& job, const GangPlaces& best, std::map<int, Block>& blocks) const;
     Resources room_for(const Offer& offer, const JobSpec& spec) const;
-    bool local_chance(Round& round, const Flows::Waiting& waiting) const;
+    bool local_chance(Round& round, const PendingQueue::Waiting& waiting) const;
     bool slow_fetch(const Offer& offer, int image) const;
     double longest_pass(const Machine& m, const JobSpec& spec, bool fetch_waits) const;
     void send_batch();
@@ -148,18 +148,19 @@
     void add_to_sheet(const Job& job, int block, const Block& next,
                       const std::vector<std::string>& machines);
     double rank(const Offer& offer, const Job& job) const;
-    bool cheap_coming(Round& round, const Offer& offer, const Flows::Waiting& waiting) const;
-    bool better_elsewhere(Round& round, const Offer& offer, const Flows::Waiting& waiting) const;
+    bool cheap_coming(Round& round, const Offer& offer, const PendingQueue::Waiting& waiting) const;
+    bool better_elsewhere(Round& round, const Offer& offer,
+                          const PendingQueue::Waiting& waiting) const;
     void skip(Wait& wait, const std::string& uid);
     void add_claim(const Job& job, const std::map<int, Block>& blocks,
                    const std::vector<std::string>& machines, int tasks);
-    void hold_for(Round& round, const Flows::Waiting& waiting);
+    void hold_for(Round& round, const PendingQueue::Waiting& waiting);
 
     Context& ctx_;
     Membership& members_;
     Fleet& fleet_;
     Quota& quota_;
-    const Flows& flows_;
+    const PendingQueue& pending_queue_;
     BatchedClaims& sheets_;
     std::unordered_map<std::string, Wait> waits_;  // by job
     std::vector<std::string> skipped_;             // jobs that let machines pass in the last round
--- a/src/core/jobs.cpp
+++ b/src/core/store/jobs.cpp
@@ -1,4 +1,4 @@
-#include "core/jobs.hpp"
+#include "core/store/jobs.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/jobs.hpp
+++ b/src/core/store/jobs.hpp
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "admission/table.hpp"
-#include "core/actions.hpp"
-#include "core/constants.hpp"
-#include "core/records.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/constants.hpp"
+#include "core/store/records.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/records.cpp
+++ b/src/core/store/records.cpp
@@ -1,10 +1,10 @@
-#include "core/records.hpp"
+#include "core/store/records.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::core {
 
--- a/src/core/records.hpp
+++ b/src/core/store/records.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "admission/table.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace cranemoor::core {
 
--- a/src/ctl/errand.cpp
+++ b/src/ctl/client_request.cpp
@@ -1,11 +1,11 @@
-#include "ctl/errand.hpp"
+#include "ctl/client_request.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cstdlib>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "wire/messages.hpp"
 
 namespace cranemoor::ctl {
@@ -25,14 +25,15 @@
 }
 }  // namespace
 
-Errand::Errand(io::Loop& loop, const std::string& server, Patience patience)
+ClientRequest::ClientRequest(io::Loop& loop, const std::string& server, Patience patience)
     : loop_(loop),
       client_(loop, server, 1, constants::peer_answer_max),
       patience_(patience),
       again_(loop, [this] { send(); }) {}
 
-Outcome Errand::run(const std::string& method, const std::string& target, const std::string& body,
-                    double answer_s, double pause_s, double patience_s, Judge judge) {
+Outcome ClientRequest::run(const std::string& method, const std::string& target,
+                           const std::string& body, double answer_s, double pause_s,
+                           double patience_s, Judge judge) {
     method_ = method;
     target_ = target;
     body_ = body;
@@ -46,7 +47,7 @@
     return outcome_;
 }
 
-void Errand::send() {
+void ClientRequest::send() {
     client_.request(method_, target_, body_, answer_s_, [this](const io::HttpMessage* m) {
         double pause = pause_s_;
         if (m != nullptr) {
@@ -72,7 +73,7 @@
     });
 }
 
-Outcome Errand::submit(const Json& job) {
+Outcome ClientRequest::submit(const Json& job) {
     return run("POST", "/work", wire::encode(job), constants::submit_answer_s, patience_.again_s,
                patience_.request_s, [](int status, const Json&) -> std::optional<Exit> {
                    if (status == 200 || status == 201) {
@@ -83,17 +84,17 @@
                });
 }
 
-Outcome Errand::cancel(const std::string& uid) {
+Outcome ClientRequest::cancel(const std::string& uid) {
     return run("POST", fmt::format("/work/{}/cancel", uid), "", constants::submit_answer_s,
                patience_.again_s, patience_.request_s, known_or_not);
 }
 
-Outcome Errand::status(const std::string& uid) {
+Outcome ClientRequest::status(const std::string& uid) {
     return run("GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, patience_.again_s,
                patience_.request_s, known_or_not);
 }
 
-Outcome Errand::wait(const std::string& uid) {
+Outcome ClientRequest::wait(const std::string& uid) {
     return run("GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, patience_.poll_s,
                patience_.wait_s, [](int status, const Json& body) -> std::optional<Exit> {
                    if (status == 200 && final(body, "done")) {
--- a/src/ctl/errand.hpp
+++ b/src/ctl/client_request.hpp
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "core/actions.hpp"
-#include "core/constants.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/constants.hpp"
 #include "io/http_client.hpp"
 #include "io/loop.hpp"
 
@@ -33,9 +33,9 @@
     double wait_s = 0;  // for a job to be over; 0: as long as it takes
 };
 
-class Errand {
+class ClientRequest {
   public:
-    Errand(io::Loop& loop, const std::string& server, Patience patience);
+    ClientRequest(io::Loop& loop, const std::string& server, Patience patience);
 
     // Each returns when it is over.
     Outcome submit(const Json& job);
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "ctl/errand.hpp"
+#include "ctl/client_request.hpp"
 #include "wire/messages.hpp"
 
 namespace {
@@ -77,7 +77,7 @@
         return mistake("no uid of a job: " + uid);
     }
     cranemoor::io::Loop loop;
-    ctl::Errand errand(loop, server, patience);
+    ctl::ClientRequest errand(loop, server, patience);
     ctl::Outcome outcome = *submit   ? errand.submit(job)
                            : *status ? errand.status(uid)
                            : *cancel ? errand.cancel(uid)
--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -1,6 +1,6 @@
 #include "io/cloud_client.hpp"
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "wire/messages.hpp"
 
 namespace cranemoor::io {
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "wire/messages.hpp"
 
 namespace cranemoor::io {
--- a/src/io/gateway.hpp
+++ b/src/io/gateway.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "core/controller.hpp"
+#include "core/controller/controller.hpp"
 #include "io/cloud_client.hpp"
 #include "io/http_client.hpp"
 #include "io/http_server.hpp"
--- a/src/io/http_parser.cpp
+++ b/src/io/http_parser.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cctype>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::io {
 
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::io {
 
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -11,10 +11,10 @@
 #include <tuple>
 #include <utility>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "io/http_parser.hpp"
 #include "io/loop.hpp"
-#include "sockets/standing.hpp"
+#include "sockets/connection_shedding.hpp"
 
 namespace cranemoor::io {
 
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <stdexcept>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::io {
 
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace cranemoor::io {
 
--- a/src/io/state_client.cpp
+++ b/src/io/state_client.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "wire/messages.hpp"
 
 namespace cranemoor::io {
--- a/src/io/state_client.hpp
+++ b/src/io/state_client.hpp
@@ -4,8 +4,8 @@
 #include <deque>
 #include <functional>
 
-#include "core/actions.hpp"
-#include "core/budget.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/budget.hpp"
 #include "io/http_client.hpp"
 
 namespace cranemoor::io {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "config/settings.hpp"
-#include "core/controller.hpp"
+#include "core/controller/controller.hpp"
 #include "io/gateway.hpp"
 #include "io/loop.hpp"
 
--- a/src/sockets/standing.cpp
+++ b/src/sockets/connection_shedding.cpp
@@ -1,6 +1,6 @@
-#include "sockets/standing.hpp"
+#include "sockets/connection_shedding.hpp"
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::sockets {
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdint>
 
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 
 namespace cranemoor::wire {
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <variant>
 
-#include "core/actions.hpp"
-#include "core/types.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/types.hpp"
 
 namespace cranemoor::wire {
 
--- a/tests/answer_history.hpp
+++ b/tests/answer_history.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 
 namespace cranemoor::test {
 
--- a/tests/change_test.cpp
+++ b/tests/change_test.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <array>
 
-#include "core/records.hpp"
+#include "core/store/records.hpp"
 #include "story.hpp"
 
 namespace cranemoor::test {
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "config/settings.hpp"
-#include "core/constants.hpp"
+#include "core/model/constants.hpp"
 #include "io/http_parser.hpp"
 #include "samples.hpp"
 #include "wire/messages.hpp"
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -1,7 +1,7 @@
 // Who keeps a connection when sockets run short.
 #include <gtest/gtest.h>
 
-#include "sockets/standing.hpp"
+#include "sockets/connection_shedding.hpp"
 
 namespace cranemoor::sockets {
 namespace {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "answer_history.hpp"
-#include "core/controller.hpp"
+#include "core/controller/controller.hpp"
 
 namespace cranemoor::test {
 
