--- a/src/ctl/client_request.cpp
+++ b/src/ctl/client_request.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "core/model/constants.hpp"
-#include "wire/messages.hpp"
+#include "wire/cbor.hpp"
 
 namespace cranemoor::ctl {
 
@@ -52,7 +52,7 @@
         double pause = pause_s_;
         if (m != nullptr) {
             outcome_.status = m->status;
-            auto value = wire::decode(m->body);
+            auto value = wire::decode_cbor(m->body);
             outcome_.body = value && value->is_object() ? *value : Json::object();
             if (auto exit = judge_(m->status, outcome_.body)) {
                 outcome_.exit = *exit;
@@ -74,8 +74,9 @@
 }
 
 Outcome ClientRequest::submit(const Json& job) {
-    return run("POST", "/work", wire::encode(job), constants::submit_answer_s, patience_.again_s,
-               patience_.request_s, [](int status, const Json&) -> std::optional<Exit> {
+    return run("POST", "/work", wire::encode_cbor(job), constants::submit_answer_s,
+               patience_.again_s, patience_.request_s,
+               [](int status, const Json&) -> std::optional<Exit> {
                    if (status == 200 || status == 201) {
                        return Exit::done;
                    }
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -5,7 +5,8 @@
 #include <iterator>
 
 #include "ctl/client_request.hpp"
-#include "wire/messages.hpp"
+#include "wire/cbor.hpp"
+#include "wire/user_messages.hpp"
 
 namespace {
 
@@ -69,11 +70,11 @@
         if (job.is_discarded()) {
             return mistake(file + ": not JSON");
         }
-        auto read = wire::read_submission(wire::encode(job));
-        if (auto* invalid = std::get_if<wire::Invalid>(&read)) {
-            return mistake(file + ": " + invalid->error);
+        auto spec = wire::decode_submission(wire::encode_cbor(job));
+        if (!spec) {
+            return mistake(file + ": " + spec.error().error.message);
         }
-    } else if (!wire::valid_uid(uid)) {
+    } else if (!wire::is_valid_uid(uid)) {
         return mistake("no uid of a job: " + uid);
     }
     cranemoor::io::Loop loop;
--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -1,7 +1,7 @@
 #include "io/cloud_client.hpp"
 
 #include "core/model/constants.hpp"
-#include "wire/messages.hpp"
+#include "wire/cloud_messages.hpp"
 
 namespace cranemoor::io {
 
@@ -35,7 +35,7 @@
                         [this, call](const HttpMessage* m) {
                             core::CloudReply reply;
                             if (m != nullptr) {
-                                reply = wire::read_cloud_reply(call, m->status, m->body);
+                                reply = wire::decode_cloud_reply(call, m->status, m->body);
                             }
                             done_(call.id, reply);
                         });
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -3,7 +3,9 @@
 #include <spdlog/spdlog.h>
 
 #include "core/model/constants.hpp"
-#include "wire/messages.hpp"
+#include "wire/peer_messages.hpp"
+#include "wire/user_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace cranemoor::io {
 
@@ -59,20 +61,18 @@
         return;
     }
     if (path == "/hello" && m.method == "POST") {
-        auto value = wire::decode(m.body);
-        auto report = value && value->is_object() ? wire::read_report(*value) : std::nullopt;
+        auto report = wire::decode_heartbeat_body(m.body);
         if (!report) {
             front_.reply(request, 400, "");
             return;
         }
         controller_.report(now, request, *report, false);
     } else if (path == work && m.method == "POST") {
-        auto read = wire::read_submission(m.body);
-        if (auto* spec = std::get_if<core::JobSpec>(&read)) {
+        auto spec = wire::decode_submission(m.body);
+        if (spec) {
             controller_.submit(now, request, *spec);
         } else {
-            auto& invalid = std::get<wire::Invalid>(read);
-            controller_.invalid(now, request, invalid.uid, invalid.error);
+            controller_.invalid(now, request, spec.error().uid, spec.error().error.message);
         }
     } else if (path.compare(0, work.size() + 1, work + "/") == 0) {
         std::string uid = path.substr(work.size() + 1);
@@ -84,7 +84,7 @@
         }
         if (m.method != (cancel ? "POST" : "GET")) {
             front_.reply(request, 405, "");
-        } else if (!wire::valid_uid(uid)) {
+        } else if (!wire::is_valid_uid(uid)) {
             front_.reply(request, 404, "");  // nothing can have been accepted under such a name
         } else if (cancel) {
             controller_.cancel(now, request, uid);
@@ -103,7 +103,7 @@
         back_.reply(request, 404, "");
         return;
     }
-    auto message = wire::read_peer(m.body);
+    auto message = wire::decode_peer_call(m.body);
     if (!message) {
         back_.reply(request, 400, "");
         return;
@@ -137,15 +137,16 @@
 void Gateway::act(const core::UserReply& r) {
     // With 503 the connection is closed: the load balancer then picks a node anew.
     bool busy = r.status == 503;
-    front_.reply(r.request, r.status, wire::user_body(r), busy ? r.retry_after_s : 0, busy,
+    front_.reply(r.request, r.status, wire::encode_user_reply(r), busy ? r.retry_after_s : 0, busy,
                  sockets::Asker::user);
 }
 
 void Gateway::act(const core::WorkerReply& r) {
     if (back_.knows(r.request)) {
-        back_.reply(r.request, 200, wire::peer_reply_body(r));
+        back_.reply(r.request, 200, wire::encode_peer_reply(r));
     } else {
-        front_.reply(r.request, r.status, wire::worker_body(r), 0, false, sockets::Asker::worker);
+        front_.reply(r.request, r.status, wire::encode_worker_reply(r), 0, false,
+                     sockets::Asker::worker);
     }
 }
 
@@ -170,16 +171,13 @@
     bool status = call.session == 0;
     worker(call.address)
         .request(status ? "GET" : "POST", status ? "/status" : "/orders",
-                 status ? "" : wire::orders_body(call), c::order_timeout_s,
+                 status ? "" : wire::encode_worker_commands(call), c::order_timeout_s,
                  [this, id = call.id](const HttpMessage* m) {
                      core::OrderReply reply;
                      if (m != nullptr) {
                          reply.answered = true;
                          reply.executed = m->status == 200;
-                         auto value = wire::decode(m->body);
-                         if (value && value->is_object()) {
-                             reply.report = wire::read_report(*value);
-                         }
+                         reply.report = wire::decode_heartbeat_body(m->body).to_optional();
                      }
                      controller_.order_reply(loop_.now(), id, reply);
                      act();
@@ -192,12 +190,12 @@
         controller_.peer_reply(loop_.now(), call.id, false, std::nullopt);
         return;
     }
-    it->second->request("POST", "/peer", wire::peer_body(settings_.name, call),
+    it->second->request("POST", "/peer", wire::encode_peer_call(settings_.name, call),
                         call.relay ? c::relay_timeout_s : c::peer_beat_s,
                         [this, id = call.id](const HttpMessage* m) {
                             std::optional<core::WorkerReply> reply;
                             if (m != nullptr && m->status == 200 && !m->body.empty()) {
-                                reply = wire::read_peer_reply(m->body);
+                                reply = wire::decode_peer_reply(m->body).to_optional();
                             }
                             controller_.peer_reply(loop_.now(), id, m != nullptr, reply);
                             act();
--- a/src/io/state_client.cpp
+++ b/src/io/state_client.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "core/model/constants.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_messages.hpp"
 
 namespace cranemoor::io {
 
@@ -89,7 +89,7 @@
 }
 
 void StateClient::send(const Waiting& w) {
-    auto request = wire::state_request(w.call);
+    auto request = wire::store_request(w.call);
     bool watch = w.call.kind == core::StateCall::Kind::watch;
     HttpClient& client = watch ? watches_ : calls_;
     double timeout = watch ? c::watch_hold_ms / 1000.0 + c::watch_grace_s : c::state_timeout_s;
@@ -106,7 +106,7 @@
                        }
                        core::StateReply reply;
                        if (m != nullptr) {
-                           reply = wire::read_state_reply(w.call, m->status, m->body);
+                           reply = wire::decode_store_reply(w.call, m->status, m->body);
                        }
                        done_(w.call.id, reply);
                    });
--- /dev/null
+++ b/src/wire/peer_messages.cpp
@@ -0,0 +1,222 @@
+#include "wire/peer_messages.hpp"
+
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "core/model/constants.hpp"
+#include "wire/cbor.hpp"
+#include "wire/fields.hpp"
+#include "wire/worker_messages.hpp"
+
+namespace cranemoor::wire {
+
+using namespace core;
+
+namespace {
+
+constexpr double wall_s_max = 1e12;  // of a time in seconds since the Unix epoch
+
+constexpr EnumName<read_leases::Grant> lease_grants[] = {{"none", read_leases::Grant::none},
+                                                         {"blank", read_leases::Grant::blank},
+                                                         {"full", read_leases::Grant::full}};
+
+// --- read leases
+
+Json encode_lease_heartbeat(const LeaseHeartbeat& lease) {
+    const auto& heartbeat = lease.heartbeat;
+    Json map = {{"boot", heartbeat.boot},
+                {"beat", heartbeat.beat},
+                {"heard_boot", heartbeat.heard_boot},
+                {"heard_beat", heartbeat.heard_beat},
+                {"wants", heartbeat.wants},
+                {"grant", enum_text(lease_grants, heartbeat.grant)}};
+    for (const auto& cancellation : lease.cancelled) {
+        map["cancelled"].push_back({{"uid", cancellation.uid}, {"wall", cancellation.wall}});
+    }
+    return map;
+}
+
+Decoded<std::vector<Cancellation>> decode_cancellations(const Json& list) {
+    if (!list.is_array()) {
+        return invalid_field("cancelled");
+    }
+    std::vector<Cancellation> cancellations;
+    for (const auto& each : list) {
+        Fields fields(each);
+        Cancellation cancellation;
+        cancellation.uid = fields.text("uid");
+        cancellation.wall = fields.amount("wall", 0, wall_s_max);
+        if (!fields.ok()) {
+            return fields.error();
+        }
+        cancellations.push_back(std::move(cancellation));
+    }
+    return cancellations;
+}
+
+Decoded<LeaseHeartbeat> decode_lease_heartbeat(const Json& map) {
+    Fields fields(map);
+    LeaseHeartbeat lease;
+    auto& heartbeat = lease.heartbeat;
+    heartbeat.boot = fields.text("boot");
+    heartbeat.beat = fields.count("beat");
+    heartbeat.heard_boot = fields.text("heard_boot", Fields::text_bytes_max, 0);
+    heartbeat.heard_beat = fields.count("heard_beat");
+    heartbeat.wants = fields.flag("wants");
+    heartbeat.grant = fields.choice("grant", lease_grants);
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    if (!fields.is_null("cancelled")) {
+        auto cancellations = decode_cancellations(map.at("cancelled"));
+        if (!cancellations) {
+            return cancellations.error();
+        }
+        lease.cancelled = std::move(*cancellations);
+    }
+    return lease;
+}
+
+// --- rentals and pressure
+
+Json encode_rental(const RentalNotice& rental) {
+    return {{"request", rental.request},  {"type", rental.type},   {"zone", rental.zone},
+            {"spot", rental.spot},        {"count", rental.count}, {"open", rental.open},
+            {"machines", rental.machines}};
+}
+
+Decoded<std::vector<RentalNotice>> decode_rentals(const Json& list) {
+    if (!list.is_array()) {
+        return invalid_field("rentals");
+    }
+    std::vector<RentalNotice> rentals;
+    for (const auto& each : list) {
+        Fields fields(each);
+        RentalNotice rental;
+        rental.request = fields.text("request");
+        rental.type = fields.text("type");
+        rental.zone = fields.text("zone");
+        rental.spot = fields.flag("spot");
+        rental.count = static_cast<int>(fields.count("count", 1, constants::rental_max));
+        rental.open = fields.flag("open");
+        rental.machines = fields.texts("machines");
+        if (!fields.ok()) {
+            return fields.error();
+        }
+        rentals.push_back(std::move(rental));
+    }
+    return rentals;
+}
+
+Decoded<PressureSample> decode_pressure(const Json& map) {
+    Fields fields(map);
+    PressureSample pressure;
+    pressure.write_wait_s = fields.amount("write_wait_s");
+    pressure.writes = fields.amount("writes");
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    return pressure;
+}
+
+// Decodes a field with `decode` into `out`, unless it is missing or null. Returns the error, if
+// any.
+template <typename Value, typename Decode>
+std::optional<DecodeError> decode_optional(const Json& map, const char* key, Decode decode,
+                                           Value& out) {
+    if (Fields(map).is_null(key)) {
+        return std::nullopt;
+    }
+    auto decoded = decode(map.at(key));
+    if (!decoded) {
+        return decoded.error();
+    }
+    out = std::move(*decoded);
+    return std::nullopt;
+}
+
+// The parts that a call may or may not have.
+std::optional<DecodeError> decode_parts(const Json& map, PeerCall& call) {
+    if (auto error = decode_optional(map, "report", decode_heartbeat, call.relay)) {
+        return error;
+    }
+    if (auto error = decode_optional(map, "rentals", decode_rentals, call.rentals)) {
+        return error;
+    }
+    if (auto error = decode_optional(map, "lease", decode_lease_heartbeat, call.lease)) {
+        return error;
+    }
+    return decode_optional(map, "pressure", decode_pressure, call.pressure);
+}
+
+}  // namespace
+
+std::string encode_peer_call(const std::string& from, const PeerCall& call) {
+    Json map = {{"from", from}, {"state_contact", call.state_contact}};
+    if (call.relay) {
+        map["report"] = encode_heartbeat(*call.relay);
+    }
+    for (const auto& rental : call.rentals) {
+        map["rentals"].push_back(encode_rental(rental));
+    }
+    if (call.pressure) {
+        map["pressure"] = {{"write_wait_s", call.pressure->write_wait_s},
+                           {"writes", call.pressure->writes}};
+    }
+    if (call.lease) {
+        map["lease"] = encode_lease_heartbeat(*call.lease);
+    }
+    return encode_cbor(map);
+}
+
+Decoded<PeerMessage> decode_peer_call(const std::string& body) {
+    auto map = decode_cbor_map(body);
+    if (!map) {
+        return map.error();
+    }
+    Fields fields(*map);
+    PeerMessage message;
+    message.from = fields.text("from");
+    message.call.state_contact = fields.flag("state_contact");
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    if (auto error = decode_parts(*map, message.call)) {
+        return *error;
+    }
+    return message;
+}
+
+std::string encode_peer_reply(const WorkerReply& reply) {
+    return encode_cbor({{"status", reply.status},
+                        {"token", reply.token},
+                        {"home", reply.home},
+                        {"commands", encode_commands(reply.commands)}});
+}
+
+Decoded<WorkerReply> decode_peer_reply(const std::string& body) {
+    auto map = decode_cbor_map(body);
+    if (!map) {
+        return map.error();
+    }
+    if (!map->contains("commands")) {
+        return invalid_field("commands");
+    }
+    Fields fields(*map);
+    WorkerReply reply;
+    reply.status = static_cast<int>(fields.count("status", 200, 599));
+    reply.token = fields.count("token");
+    reply.home = fields.is_null("home") ? "" : fields.text("home", Fields::text_bytes_max, 0);
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    auto commands = decode_commands(map->at("commands"));
+    if (!commands) {
+        return commands.error();
+    }
+    reply.commands = std::move(*commands);
+    return reply;
+}
+
+}  // namespace cranemoor::wire
--- /dev/null
+++ b/src/wire/peer_messages.hpp
@@ -0,0 +1,31 @@
+// Messages between controllers (protocol, "Controller nodes <-> controller nodes", which leaves
+// their content to the service). A new field must be optional, since during an upgrade controllers
+// of two versions talk to each other.
+#pragma once
+
+#include <string>
+
+#include "core/model/actions.hpp"
+#include "wire/decode_error.hpp"
+
+namespace cranemoor::wire {
+
+/// A call from another controller.
+struct PeerMessage {
+    std::string from;  ///< the sender's name
+    core::PeerCall call;
+};
+
+/// Encodes a call to another controller; `from` is the sender's name.
+std::string encode_peer_call(const std::string& from, const core::PeerCall& call);
+
+/// Decodes a call from another controller.
+Decoded<PeerMessage> decode_peer_call(const std::string& body);
+
+/// Encodes the answer to a relayed heartbeat.
+std::string encode_peer_reply(const core::WorkerReply& reply);
+
+/// Decodes the answer to a relayed heartbeat.
+Decoded<core::WorkerReply> decode_peer_reply(const std::string& body);
+
+}  // namespace cranemoor::wire
--- /dev/null
+++ b/src/wire/store_messages.cpp
@@ -0,0 +1,197 @@
+#include "wire/store_messages.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <exception>
+#include <utility>
+#include <vector>
+
+#include "core/model/constants.hpp"
+#include "wire/cbor.hpp"
+#include "wire/fields.hpp"
+
+namespace cranemoor::wire {
+
+using namespace core;
+
+namespace {
+
+// --- requests
+
+HttpRequest list_request(const StateCall& call) {
+    std::string target = "/kv?under=" + percent_encode(call.key);
+    if (!call.after.empty()) {
+        target += "&from=" + percent_encode(call.after);
+    }
+    return {"GET", target + "&most=" + std::to_string(constants::list_page), ""};
+}
+
+HttpRequest watch_request(const StateCall& call) {
+    return {"GET",
+            "/follow?under=" + percent_encode(call.key) + "&from=" + std::to_string(call.since) +
+                "&hold_ms=" + std::to_string(constants::watch_hold_ms),
+            ""};
+}
+
+Json encode_write(const Write& write) {
+    Json map = Json::object();
+    if (!write.value) {
+        map["drop"] = write.key;
+        return map;
+    }
+    map["put"] = write.key;
+    map["value"] = *write.value;
+    if (write.lease != 0) {
+        map["tether"] = write.lease;
+    }
+    return map;
+}
+
+// A transaction without writes, which only compares, goes without "then".
+HttpRequest transaction_request(const Txn& transaction) {
+    Json conditions = Json::array();
+    for (const auto& condition : transaction.conditions) {
+        conditions.push_back({{"key", condition.key}, {"ripple", condition.revision}});
+    }
+    Json map = {{"if", std::move(conditions)}};
+    if (!transaction.writes.empty()) {
+        Json writes = Json::array();
+        for (const auto& write : transaction.writes) {
+            writes.push_back(encode_write(write));
+        }
+        map["then"] = std::move(writes);
+    }
+    return {"POST", "/txn", encode_cbor(map)};
+}
+
+// --- replies
+
+// A reply that can't be read.
+class UnreadableReply : public std::exception {};
+
+// Reads an integer field. Guards against the conversion of numbers that no integer can hold, which
+// is undefined.
+std::uint64_t read_count(const Json& map, const char* key) {
+    Fields fields(map);
+    auto count = fields.count(key);
+    if (!fields.ok()) {
+        throw UnreadableReply();
+    }
+    return count;
+}
+
+StateReply::Status reply_status(int http_status) {
+    switch (http_status) {
+        case 200:
+            return StateReply::Status::ok;
+        case 409:
+            return StateReply::Status::conflict;
+        case 404:
+            return StateReply::Status::not_found;
+        case 410:
+            return StateReply::Status::compacted;
+        case 429:
+        case 503:
+            return StateReply::Status::refused;
+        case 400:
+            return StateReply::Status::bad;
+        default:
+            return StateReply::Status::unknown;
+    }
+}
+
+void read_items(Json& map, StateReply& reply) {
+    reply.more = map.at("has_next").get<bool>();
+    for (auto& item : map.at("items")) {
+        reply.events.push_back({item.at("key").get<std::string>(), std::move(item.at("value")),
+                                read_count(item, "ripple")});
+    }
+}
+
+Event read_event(Json& map) {
+    Event event;
+    event.revision = read_count(map, "ripple");
+    if (map.contains("put")) {
+        event.key = map.at("put").get<std::string>();
+        event.value = std::move(map.at("value"));
+    } else {
+        event.key = map.at("drop").get<std::string>();
+    }
+    return event;
+}
+
+void read_events(Json& map, StateReply& reply) {
+    for (auto& each : map.at("log")) {
+        reply.events.push_back(read_event(each));
+    }
+    std::stable_sort(reply.events.begin(), reply.events.end(),
+                     [](const Event& a, const Event& b) { return a.revision < b.revision; });
+}
+
+// The part of a successful reply that depends on the call. Throws if it can't be read.
+void read_result(StateCall::Kind kind, Json& map, StateReply& reply) {
+    switch (kind) {
+        case StateCall::Kind::get:
+            reply.value = std::move(map.at("value"));
+            break;
+        case StateCall::Kind::list:
+            read_items(map, reply);
+            break;
+        case StateCall::Kind::watch:
+            read_events(map, reply);
+            break;
+        case StateCall::Kind::grant:
+            reply.lease = read_count(map, "tether");
+            break;
+        case StateCall::Kind::renew:
+        case StateCall::Kind::txn:
+            break;
+    }
+}
+
+// Throws if the reply can't be read.
+StateReply read_reply(StateCall::Kind kind, int http_status, Json& map) {
+    StateReply reply;
+    reply.status = reply_status(http_status);
+    reply.revision = map.contains("tide") ? read_count(map, "tide") : 0;
+    if (reply.status == StateReply::Status::conflict) {
+        reply.failed = map.value("failed", std::vector<std::string>());
+    }
+    if (reply.status == StateReply::Status::ok) {
+        read_result(kind, map, reply);
+    }
+    return reply;
+}
+
+}  // namespace
+
+HttpRequest store_request(const StateCall& call) {
+    switch (call.kind) {
+        case StateCall::Kind::get:
+            return {"GET", "/kv/" + percent_encode(call.key), ""};
+        case StateCall::Kind::list:
+            return list_request(call);
+        case StateCall::Kind::watch:
+            return watch_request(call);
+        case StateCall::Kind::grant:
+            return {"POST", "/grants", encode_cbor({{"ttl_ms", constants::member_lease_ms}})};
+        case StateCall::Kind::renew:
+            return {"POST", "/grants/" + std::to_string(call.lease) + "/touch",
+                    encode_cbor(Json::object())};
+        case StateCall::Kind::txn:
+            break;
+    }
+    return transaction_request(call.txn);
+}
+
+StateReply decode_store_reply(const StateCall& call, int status, const std::string& body) {
+    auto decoded = decode_cbor_map(body);
+    Json map = decoded ? std::move(*decoded) : Json::object();
+    try {
+        return read_reply(call.kind, status, map);
+    } catch (const std::exception&) {
+        return {};
+    }
+}
+
+}  // namespace cranemoor::wire
--- /dev/null
+++ b/src/wire/user_messages.cpp
@@ -0,0 +1,132 @@
+#include "wire/user_messages.hpp"
+
+#include <algorithm>
+
+#include "wire/cbor.hpp"
+#include "wire/fields.hpp"
+
+namespace cranemoor::wire {
+
+using namespace core;
+
+namespace {
+
+constexpr std::size_t uid_bytes_max = 32;
+constexpr std::uint64_t tasks_max = 100000;  // of one job, by the protocol
+
+constexpr EnumName<JobKind> job_kinds[] = {
+    {"array", JobKind::array}, {"gang", JobKind::gang}, {"service", JobKind::service}};
+constexpr EnumName<Priority> priorities[] = {{"normal", Priority::normal},
+                                             {"production", Priority::production},
+                                             {"high", Priority::high},
+                                             {"best_effort", Priority::best_effort}};
+
+// Text that is not UTF-8, also in fields that are not read: no record could keep it.
+bool has_invalid_utf8(const Json& map) {
+    try {
+        (void)map.dump();
+        return false;
+    } catch (const Json::type_error&) {
+        return true;
+    }
+}
+
+// The jobs that this one depends on, each once.
+std::vector<std::string> read_dependencies(Fields& fields) {
+    std::vector<std::string> uids = fields.texts("follows");
+    if (!std::all_of(uids.begin(), uids.end(), is_valid_uid)) {
+        fields.reject("follows");
+    }
+    std::sort(uids.begin(), uids.end());
+    uids.erase(std::unique(uids.begin(), uids.end()), uids.end());
+    return uids;
+}
+
+// All fields but the job's id.
+void read_job(Fields& fields, JobSpec& spec) {
+    spec.job_class = fields.text("flock");
+    spec.team = fields.text("crew");
+    spec.kind = fields.choice("gait", job_kinds);
+    spec.priority = fields.choice("rank", priorities);
+    spec.tasks = static_cast<int>(fields.count("hatchlings", 1, tasks_max));
+    spec.each.cpus = fields.amount("cpus");
+    spec.each.gpus = fields.amount("gpus");
+    spec.each.memory_gb = fields.amount("mem_gb");
+    spec.image = fields.text("plumage");
+    spec.image_gb = fields.amount("size_gb");
+    if (!fields.is_null("breeds")) {
+        spec.types = fields.texts("breeds");
+    }
+    if (!fields.is_null("marsh")) {
+        spec.zone = fields.text("marsh");
+    }
+    spec.together = fields.flag("together");
+    spec.spread = fields.flag("spread");
+    spec.spot = fields.flag("driftwood");
+    spec.estimate_s = fields.amount("flight_s");
+    spec.checkpoint_s = fields.amount("nestmark_s");
+    spec.save_s = fields.amount("preen_s");
+    spec.deadline_s = fields.amount_or_null("dusk_s");
+    if (!fields.is_null("follows")) {
+        spec.follows = read_dependencies(fields);
+    }
+}
+
+// The protocol's word for a job's state.
+std::string state_text(const std::string& state) {
+    if (state == "queued") {
+        return "pending";
+    }
+    return state == "cancelled" ? "withdrawn" : state;
+}
+
+}  // namespace
+
+bool is_valid_uid(const std::string& uid) {
+    static const std::string prefix = "req-";
+    return uid.size() > prefix.size() && uid.size() <= uid_bytes_max &&
+           uid.compare(0, prefix.size(), prefix) == 0 &&
+           std::all_of(uid.begin() + static_cast<std::ptrdiff_t>(prefix.size()), uid.end(),
+                       [](char c) { return c >= '0' && c <= '9'; });
+}
+
+Decoded<JobSpec, InvalidSubmission> decode_submission(const std::string& body) {
+    auto map = decode_cbor_map(body);
+    if (!map) {
+        return InvalidSubmission{std::nullopt, map.error()};
+    }
+    Fields fields(*map);
+    JobSpec spec;
+    spec.uid = fields.text("uid");
+    if (!fields.ok() || !is_valid_uid(spec.uid)) {
+        return InvalidSubmission{std::nullopt, invalid_field("uid")};
+    }
+    if (has_invalid_utf8(*map)) {
+        return InvalidSubmission{spec.uid, {"", "not UTF-8"}};
+    }
+    read_job(fields, spec);
+    if (!fields.ok()) {
+        return InvalidSubmission{spec.uid, fields.error()};
+    }
+    return spec;
+}
+
+std::string encode_user_reply(const UserReply& reply) {
+    Json map = Json::object();
+    if (!reply.uid.empty()) {
+        map["uid"] = reply.uid;
+    }
+    if (!reply.state.empty()) {
+        map["stance"] = state_text(reply.state);
+    }
+    if (reply.counts) {
+        map["done"] = reply.counts->first;
+        map["running"] = reply.counts->second;
+    }
+    if (!reply.error.empty()) {
+        map["error"] = reply.error;
+    }
+    return encode_cbor(map);
+}
+
+}  // namespace cranemoor::wire
--- /dev/null
+++ b/src/wire/user_messages.hpp
@@ -0,0 +1,29 @@
+// Messages between users and controllers (protocol, "Users -> controller nodes").
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include "core/model/actions.hpp"
+#include "core/model/types.hpp"
+#include "wire/decode_error.hpp"
+
+namespace cranemoor::wire {
+
+/// Why a submission is refused, and for which job.
+struct InvalidSubmission {
+    std::optional<std::string> uid;  ///< none if the job's id itself could not be read
+    DecodeError error;
+};
+
+/// Decodes the body of a submission ("POST /work"). The list of dependencies comes out sorted and
+/// without repetitions.
+Decoded<core::JobSpec, InvalidSubmission> decode_submission(const std::string& body);
+
+/// Whether a text has the form of a job id: "req-" and decimal digits, at most 32 bytes.
+bool is_valid_uid(const std::string& uid);
+
+/// Encodes the answer to a submission, poll or cancellation.
+std::string encode_user_reply(const core::UserReply& reply);
+
+}  // namespace cranemoor::wire
--- /dev/null
+++ b/src/wire/worker_messages.cpp
@@ -0,0 +1,202 @@
+#include "wire/worker_messages.hpp"
+
+#include <optional>
+#include <utility>
+
+#include "wire/fields.hpp"
+
+namespace cranemoor::wire {
+
+using namespace core;
+
+namespace {
+
+constexpr std::size_t task_index_digits_max = 7;  // so that no index overflows
+
+constexpr EnumName<TaskState> task_states[] = {{"pulling", TaskState::fetching},
+                                               {"gathering", TaskState::waiting},
+                                               {"running", TaskState::running},
+                                               {"flushing", TaskState::saving},
+                                               {"ended", TaskState::exited}};
+constexpr EnumName<ExitReason> exit_reasons[] = {{"done", ExitReason::done},
+                                                 {"halted", ExitReason::stopped},
+                                                 {"mates_gone", ExitReason::peers_gone},
+                                                 {"incomplete", ExitReason::incomplete},
+                                                 {"error", ExitReason::error},
+                                                 {"no_room", ExitReason::no_room},
+                                                 {"busy", ExitReason::busy},
+                                                 {"no_such", ExitReason::unknown_task}};
+constexpr EnumName<Command::Kind> command_kinds[] = {{"run", Command::Kind::start},
+                                                     {"kill", Command::Kind::stop},
+                                                     {"forget", Command::Kind::forget}};
+
+// Parses a task's id, a job's id and an index: "req-000412/3".
+std::optional<TaskId> parse_task_id(const std::string& text) {
+    auto slash = text.rfind('/');
+    if (slash == std::string::npos || slash == 0 || slash + 1 == text.size() ||
+        text.size() - (slash + 1) > task_index_digits_max) {
+        return std::nullopt;
+    }
+    TaskId id;
+    id.uid = text.substr(0, slash);
+    for (std::size_t i = slash + 1; i < text.size(); ++i) {
+        if (text[i] < '0' || text[i] > '9') {
+            return std::nullopt;
+        }
+        id.index = id.index * 10 + (text[i] - '0');
+    }
+    return id;
+}
+
+TaskId read_task_id(Fields& fields) {
+    auto id = parse_task_id(fields.text("hatchling"));
+    if (!id) {
+        fields.reject("hatchling");
+        return {};
+    }
+    return *id;
+}
+
+// Why a task exited; later versions of the protocol may add reasons.
+ExitReason read_exit_reason(const Json& map) {
+    Fields fields(map);
+    ExitReason reason = fields.choice("cause", exit_reasons);
+    return fields.ok() ? reason : ExitReason::other;
+}
+
+Decoded<TaskStatus> decode_task_status(const Json& map) {
+    Fields fields(map);
+    TaskStatus task;
+    task.id = read_task_id(fields);
+    task.attempt = fields.count("launch");
+    task.state = fields.choice("stance", task_states);
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    if (task.state == TaskState::exited) {
+        task.why = read_exit_reason(map);
+    }
+    task.saved = !fields.is_null("saved") && fields.flag("saved");
+    return task;
+}
+
+Json encode_task_status(const TaskStatus& task) {
+    Json map = {{"hatchling", task.id.text()}, {"launch", task.attempt}};
+    map["stance"] = enum_text(task_states, task.state);
+    if (const char* reason = enum_text(exit_reasons, task.why)) {
+        map["cause"] = reason;
+    }
+    if (task.saved) {
+        map["saved"] = true;
+    }
+    return map;
+}
+
+Decoded<Command> decode_command(const Json& map) {
+    Fields fields(map);
+    Command command;
+    command.kind = fields.choice("call_kind", command_kinds);
+    command.id = read_task_id(fields);
+    command.attempt = fields.count("launch");
+    command.grace_s = fields.is_null("settle_s") ? 0 : fields.amount("settle_s");
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    return command;
+}
+
+}  // namespace
+
+Decoded<Report> decode_heartbeat(const Json& map) {
+    Fields fields(map);
+    Report heartbeat;
+    heartbeat.machine = fields.text("roost");
+    heartbeat.address = fields.text("endpoint");
+    heartbeat.type = fields.text("breed");
+    heartbeat.zone = fields.text("marsh");
+    heartbeat.spot = fields.flag("driftwood");
+    heartbeat.session = fields.count("perch");
+    heartbeat.seq = fields.count("call_seq");
+    heartbeat.token = fields.count("crest");
+    heartbeat.notice_s = fields.amount_or_null("warning_s");
+    if (!fields.ok()) {
+        return fields.error();
+    }
+    if (fields.is_null("hatchlings") || !map.at("hatchlings").is_array()) {
+        return invalid_field("hatchlings");
+    }
+    for (const auto& each : map.at("hatchlings")) {
+        auto task = decode_task_status(each);
+        if (!task) {
+            return task.error();
+        }
+        heartbeat.tasks.push_back(std::move(*task));
+    }
+    return heartbeat;
+}
+
+Decoded<Report> decode_heartbeat_body(const std::string& body) {
+    auto map = decode_cbor_map(body);
+    if (!map) {
+        return map.error();
+    }
+    return decode_heartbeat(*map);
+}
+
+Json encode_heartbeat(const Report& heartbeat) {
+    Json tasks = Json::array();
+    for (const auto& task : heartbeat.tasks) {
+        tasks.push_back(encode_task_status(task));
+    }
+    Json map = {{"roost", heartbeat.machine},    {"endpoint", heartbeat.address},
+                {"breed", heartbeat.type},       {"marsh", heartbeat.zone},
+                {"driftwood", heartbeat.spot},   {"perch", heartbeat.session},
+                {"call_seq", heartbeat.seq},     {"crest", heartbeat.token},
+                {"hatchlings", std::move(tasks)}};
+    map["warning_s"] = heartbeat.notice_s ? Json(*heartbeat.notice_s) : Json();
+    return map;
+}
+
+std::string encode_worker_reply(const WorkerReply& reply) {
+    Json map = Json::object();
+    if (reply.status == 200) {
+        map["crest"] = reply.token;
+        map["calls"] = encode_commands(reply.commands);
+    } else if (!reply.home.empty()) {
+        map["home_roost"] = reply.home;
+    }
+    return encode_cbor(map);
+}
+
+std::string encode_worker_commands(const OrderCall& call) {
+    return encode_cbor({{"crest", call.token},
+                        {"perch", call.session},
+                        {"calls", encode_commands(call.commands)}});
+}
+
+Decoded<std::vector<Command>> decode_commands(const Json& list) {
+    std::vector<Command> commands;
+    for (const auto& each : list) {
+        auto command = decode_command(each);
+        if (!command) {
+            return command.error();
+        }
+        commands.push_back(std::move(*command));
+    }
+    return commands;
+}
+
+Json encode_commands(const std::vector<Command>& commands) {
+    Json list = Json::array();
+    for (const auto& command : commands) {
+        Json map = {{"hatchling", command.id.text()}, {"launch", command.attempt}};
+        map["call_kind"] = enum_text(command_kinds, command.kind);
+        if (command.kind == Command::Kind::stop) {
+            map["settle_s"] = command.grace_s;
+        }
+        list.push_back(std::move(map));
+    }
+    return list;
+}
+
+}  // namespace cranemoor::wire
