--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -16,23 +16,23 @@
 
 namespace cranemoor::admission {
 
-// Fair queue of waiting submissions, one queue per flow; see the file comment.
+/// Fair queue of waiting submissions, one queue per flow; see the file comment.
 class AdmissionController {
   public:
-    // Records one more submission of `flow` as waiting.
+    /// Records one more submission of `flow` as waiting.
     void enqueue(const FlowName& flow);
-    // Records that one waiting submission of `flow` no longer waits. `served`: true if it was the
-    // flow's turn and the submission was taken, false if its client gave up or it was sent away.
-    // Precondition: `flow` has at least one waiting submission.
+    /// Records that one waiting submission of `flow` no longer waits. `served`: true if it was the
+    /// flow's turn and the submission was taken, false if its client gave up or it was sent away.
+    /// Precondition: `flow` has at least one waiting submission.
     void dequeue(const FlowName& flow, bool served);
-    // The flow whose turn it is: among the flows that wait, the one given the fewest turns since it
-    // began to wait. std::nullopt if nothing waits.
+    /// The flow whose turn it is: among the flows that wait, the one given the fewest turns since
+    /// it began to wait. std::nullopt if nothing waits.
     std::optional<FlowName> next_flow() const;
-    // The flow that must give up one waiting submission so that one more of `newcomer` may wait:
-    // the flow with the most waiting submissions. std::nullopt if that flow would be the newcomer's
-    // own.
+    /// The flow that must give up one waiting submission so that one more of `newcomer` may wait:
+    /// the flow with the most waiting submissions. std::nullopt if that flow would be the
+    /// newcomer's own.
     std::optional<FlowName> flow_to_evict(const FlowName& newcomer) const;
-    // Waiting submissions of all flows together.
+    /// Waiting submissions of all flows together.
     std::size_t waiting_count() const { return waiting_count_; }
 
   private:
@@ -41,7 +41,7 @@
         // Start tag: turns given, counted from where the others stood when the flow began to wait.
         std::size_t start_tag = 0;
     };
-    // PendingQueue that wait, or whose start tag is ahead of the virtual time.
+    // Flows that wait, or whose start tag is ahead of the virtual time.
     std::map<FlowName, FlowQueue> queues_;
     std::size_t waiting_count_ = 0;
     // Virtual time: the start tag of the flow served last.
--- a/src/core/requests/open_requests.hpp
+++ b/src/core/requests/open_requests.hpp
@@ -41,7 +41,7 @@
     void open(RequestId request, const std::string& uid, double timeout_s,
               Continuation on_fresh = nullptr);
     /// Whether the request still waits for its answer.
-    bool is_open(RequestId request) const { return open_.count(request) != 0; }
+    bool is_open(RequestId request) const { return open_.contains(request); }
     /// Requests that wait for an answer.
     std::size_t count() const { return open_.size(); }
     /// Runs what the request was opened with, unless it was answered or resumed already.
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -77,7 +77,7 @@
 }
 
 bool SubmissionHandler::is_known(const std::string& uid) const {
-    return ctx_.jobs.find(uid) != nullptr || accepted_here_.count(uid) != 0;
+    return ctx_.jobs.find(uid) != nullptr || accepted_here_.contains(uid);
 }
 
 // A job that nothing is known of is written without a fresh read: the write's conditions fail if it
--- a/src/ctl/client_request.cpp
+++ b/src/ctl/client_request.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <cstdlib>
+#include <utility>
 
 #include "core/model/constants.hpp"
 #include "wire/cbor.hpp"
@@ -13,121 +14,130 @@
 namespace constants = core::constants;
 
 namespace {
-bool final(const Json& body, const char* state) {
+
+// Steady time that never comes: the deadline of a call without a limit.
+constexpr double never = 1e18;
+
+bool has_state(const Json& body, const char* state) {
     return body.value("stance", "") == state;
 }
 
-std::optional<Exit> known_or_not(int status, const Json& /*body*/) {
+std::optional<ExitCode> classify_submission(int status, const Json& /*body*/) {
+    if (status == 200 || status == 201) {
+        return ExitCode::done;
+    }
+    bool rejected = status == 400 || status == 413 || status == 422;
+    return rejected ? std::optional(ExitCode::rejected) : std::nullopt;
+}
+
+std::optional<ExitCode> classify_known_job(int status, const Json& /*body*/) {
     if (status == 200) {
-        return Exit::done;
+        return ExitCode::done;
+    }
+    return status == 404 ? std::optional(ExitCode::rejected) : std::nullopt;
+}
+
+std::optional<ExitCode> classify_wait(int status, const Json& body) {
+    if (status == 200 && has_state(body, "done")) {
+        return ExitCode::done;
+    }
+    if (status == 200 && has_state(body, "withdrawn")) {
+        return ExitCode::cancelled;
     }
-    return status == 404 ? std::optional(Exit::refused) : std::nullopt;
+    return status == 404 ? std::optional(ExitCode::rejected) : std::nullopt;
 }
+
 }  // namespace
 
-ClientRequest::ClientRequest(io::Loop& loop, const std::string& server, Patience patience)
+ClientRequest::ClientRequest(io::Loop& loop, const std::string& server, RetryPolicy policy)
     : loop_(loop),
       client_(loop, server, 1, constants::peer_answer_max),
-      patience_(patience),
-      again_(loop, [this] { send(); }) {}
-
-Outcome ClientRequest::run(const std::string& method, const std::string& target,
-                           const std::string& body, double answer_s, double pause_s,
-                           double patience_s, Judge judge) {
-    method_ = method;
-    target_ = target;
-    body_ = body;
-    answer_s_ = answer_s;
-    pause_s_ = pause_s;
-    until_ = patience_s > 0 ? loop_.now().steady + patience_s : 1e18;
-    judge_ = std::move(judge);
-    outcome_ = {};
-    again_.start(0);
+      policy_(policy),
+      retry_timer_(loop, [this] { send(); }) {}
+
+Response ClientRequest::run(Call call) {
+    call_ = std::move(call);
+    deadline_ = call_.limit_s > 0 ? loop_.now().steady + call_.limit_s : never;
+    response_ = {};
+    retry_timer_.start(0);
     loop_.run();
-    return outcome_;
+    return response_;
 }
 
 void ClientRequest::send() {
-    client_.request(method_, target_, body_, answer_s_, [this](const io::HttpMessage* m) {
-        double pause = pause_s_;
-        if (m != nullptr) {
-            outcome_.status = m->status;
-            auto value = wire::decode_cbor(m->body);
-            outcome_.body = value && value->is_object() ? *value : Json::object();
-            if (auto exit = judge_(m->status, outcome_.body)) {
-                outcome_.exit = *exit;
-                loop_.stop();
-                return;
-            }
-            if (const std::string* after = m->header("retry-after")) {
-                double asked = std::strtod(after->c_str(), nullptr);
-                pause = std::max(pause, std::min(asked, patience_.retry_max_s));
-            }
-        }
-        if (loop_.now().steady + pause > until_) {
-            outcome_.exit = Exit::no_answer;
-            loop_.stop();
+    client_.request(call_.method, call_.target, call_.body, call_.answer_timeout_s,
+                    [this](const io::HttpMessage* message) { on_answer(message); });
+}
+
+// message: nullptr if none came in time.
+void ClientRequest::on_answer(const io::HttpMessage* message) {
+    double pause_s = call_.pause_s;
+    if (message != nullptr) {
+        response_.status = message->status;
+        auto value = wire::decode_cbor(message->body);
+        response_.body = value && value->is_object() ? *value : Json::object();
+        if (auto exit = call_.classify(message->status, response_.body)) {
+            finish(*exit);
             return;
         }
-        again_.start(pause);
-    });
+        if (const std::string* retry_after = message->header("retry-after")) {
+            double asked_s = std::strtod(retry_after->c_str(), nullptr);
+            pause_s = std::max(pause_s, std::min(asked_s, policy_.retry_max_s));
+        }
+    }
+    if (loop_.now().steady + pause_s > deadline_) {
+        finish(ExitCode::no_answer);
+        return;
+    }
+    retry_timer_.start(pause_s);
+}
+
+void ClientRequest::finish(ExitCode exit) {
+    response_.exit = exit;
+    loop_.stop();
 }
 
-Outcome ClientRequest::submit(const Json& job) {
-    return run("POST", "/work", wire::encode_cbor(job), constants::submit_answer_s,
-               patience_.again_s, patience_.request_s,
-               [](int status, const Json&) -> std::optional<Exit> {
-                   if (status == 200 || status == 201) {
-                       return Exit::done;
-                   }
-                   bool refused = status == 400 || status == 413 || status == 422;
-                   return refused ? std::optional(Exit::refused) : std::nullopt;
-               });
+Response ClientRequest::submit(const Json& job) {
+    return run({"POST", "/work", wire::encode_cbor(job), constants::submit_answer_s,
+                policy_.again_s, policy_.request_s, classify_submission});
 }
 
-Outcome ClientRequest::cancel(const std::string& uid) {
-    return run("POST", fmt::format("/work/{}/cancel", uid), "", constants::submit_answer_s,
-               patience_.again_s, patience_.request_s, known_or_not);
+Response ClientRequest::cancel(const std::string& uid) {
+    return run({"POST", fmt::format("/work/{}/cancel", uid), "", constants::submit_answer_s,
+                policy_.again_s, policy_.request_s, classify_known_job});
 }
 
-Outcome ClientRequest::status(const std::string& uid) {
-    return run("GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, patience_.again_s,
-               patience_.request_s, known_or_not);
+Response ClientRequest::status(const std::string& uid) {
+    return run({"GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, policy_.again_s,
+                policy_.request_s, classify_known_job});
 }
 
-Outcome ClientRequest::wait(const std::string& uid) {
-    return run("GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, patience_.poll_s,
-               patience_.wait_s, [](int status, const Json& body) -> std::optional<Exit> {
-                   if (status == 200 && final(body, "done")) {
-                       return Exit::done;
-                   }
-                   if (status == 200 && final(body, "withdrawn")) {
-                       return Exit::cancelled;
-                   }
-                   return status == 404 ? std::optional(Exit::refused) : std::nullopt;
-               });
+Response ClientRequest::wait(const std::string& uid) {
+    return run({"GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, policy_.poll_s,
+                policy_.wait_s, classify_wait});
 }
 
-std::string describe(const Outcome& o, bool json) {
+std::string describe(const Response& response, bool json) {
+    const Json& body = response.body;
     if (json) {
-        Json v = o.body;
-        v["status"] = o.status;
-        return v.dump();
+        Json shown = body;
+        shown["status"] = response.status;
+        return shown.dump();
     }
-    if (o.status == 0) {
+    if (response.status == 0) {
         return "no answer";
     }
-    std::string text = o.body.value("uid", "");
-    if (o.body.contains("stance")) {
-        text += fmt::format(" {}", o.body.value("stance", ""));
-        if (o.body.contains("done")) {
-            text += fmt::format(", {} done, {} running", o.body.value("done", 0),
-                                o.body.value("running", 0));
+    std::string text = body.value("uid", "");
+    if (body.contains("stance")) {
+        text += fmt::format(" {}", body.value("stance", ""));
+        if (body.contains("done")) {
+            text += fmt::format(", {} done, {} running", body.value("done", 0),
+                                body.value("running", 0));
         }
         return text;
     }
     return fmt::format("{}{}{} ({})", text, text.empty() ? "" : ": ",
-                       o.body.value("error", "not now"), o.status);
+                       body.value("error", "not now"), response.status);
 }
 
 }  // namespace cranemoor::ctl
--- a/src/ctl/client_request.hpp
+++ b/src/ctl/client_request.hpp
@@ -1,5 +1,5 @@
-// One errand of a user at the controllers: a request with the protocol's retries, or the polls of
-// a job until it is over.
+// A client's request to the controllers: sent again as the protocol has it until it is answered for
+// good, or a job polled until it is over.
 #pragma once
 
 #include <functional>
@@ -15,56 +15,75 @@
 
 using core::Json;
 
-// What the command ends with; docs/operations.md lists them.
-enum class Exit { done = 0, mistake = 2, refused = 3, no_answer = 4, cancelled = 5 };
+/// Exit code of the command; docs/operations.md lists them.
+enum class ExitCode { done = 0, usage_error = 2, rejected = 3, no_answer = 4, cancelled = 5 };
 
-struct Outcome {
-    Exit exit = Exit::no_answer;
-    int status = 0;  // of the last answer, 0: none came
-    Json body = Json::object();
+/// How a request ended, and the last response to it.
+struct Response {
+    ExitCode exit = ExitCode::no_answer;
+    int status = 0;              ///< HTTP status of the last response, 0: none came
+    Json body = Json::object();  ///< of the last response; empty if it was no map
 };
 
-// Seconds of the protocol, and how long to wait for a job.
-struct Patience {
+/// When requests are sent again, and for how long; all in seconds.
+struct RetryPolicy {
+    /// A submission, cancellation or status query is repeated for so long.
     double request_s = core::constants::user_patience_s;
+    /// Least time between two tries.
     double again_s = core::constants::user_again_s;
+    /// Longest `retry-after` that is obeyed.
     double retry_max_s = core::constants::user_retry_max_s;
+    /// Time between two polls of a job that is waited for.
     double poll_s = core::constants::user_poll_s;
-    double wait_s = 0;  // for a job to be over; 0: as long as it takes
+    /// A job is waited for so long; 0: as long as it takes.
+    double wait_s = 0;
 };
 
+/// Sends requests to the controllers at one address. Each call runs the event loop until it is over
+/// and returns how it ended; ExitCode::no_answer if the retry policy's time is up.
 class ClientRequest {
   public:
-    ClientRequest(io::Loop& loop, const std::string& server, Patience patience);
+    /// `server`: host:port of the controllers or of their load balancer.
+    ClientRequest(io::Loop& loop, const std::string& server, RetryPolicy policy);
 
-    // Each returns when it is over.
-    Outcome submit(const Json& job);
-    Outcome status(const std::string& uid);
-    Outcome cancel(const std::string& uid);
-    Outcome wait(const std::string& uid);
+    /// Submits a job, in the protocol's form.
+    Response submit(const Json& job);
+    /// Asks for the state of job `uid`.
+    Response status(const std::string& uid);
+    /// Cancels job `uid`.
+    Response cancel(const std::string& uid);
+    /// Polls job `uid` until it is done or cancelled.
+    Response wait(const std::string& uid);
 
   private:
-    // What an answer means: nothing while the request should be sent again.
-    using Judge = std::function<std::optional<Exit>(int status, const Json& body)>;
-    Outcome run(const std::string& method, const std::string& target, const std::string& body,
-                double answer_s, double pause_s, double patience_s, Judge judge);
+    /// What a response means; std::nullopt: the request is to be sent again.
+    using Classifier = std::function<std::optional<ExitCode>(int status, const Json& body)>;
+
+    struct Call {
+        std::string method;
+        std::string target;
+        std::string body;
+        double answer_timeout_s = 0;
+        double pause_s = 0;  // between two tries
+        double limit_s = 0;  // on all tries together; 0: none
+        Classifier classify;
+    };
+
+    Response run(Call call);
     void send();
+    void on_answer(const io::HttpMessage* message);
+    void finish(ExitCode exit);
 
     io::Loop& loop_;
     io::HttpClient client_;
-    Patience patience_;
-    io::Timer again_;
-    std::string method_;
-    std::string target_;
-    std::string body_;
-    double answer_s_ = 0;
-    double pause_s_ = 0;
-    double until_ = 0;
-    Judge judge_;
-    Outcome outcome_;
+    RetryPolicy policy_;
+    io::Timer retry_timer_;
+    Call call_;
+    double deadline_ = 0;  // steady time
+    Response response_;
 };
 
-// "req-000412 running, 3 done, 13 running" or the body as JSON.
-std::string describe(const Outcome& outcome, bool json);
+/// The response as the user reads it: "req-000412 running, 3 done, 13 running", or as JSON.
+std::string describe(const Response& response, bool json);
 
 }  // namespace cranemoor::ctl
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -1,3 +1,4 @@
+// cranemoorctl: the users' command line. docs/operations.md lists its commands and exit codes.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -14,9 +15,38 @@
 namespace ctl = cranemoor::ctl;
 namespace wire = cranemoor::wire;
 
-int mistake(const std::string& text) {
+/// Prints what is wrong with the command line or its file; returns the exit code.
+int usage_error(const std::string& text) {
     std::fprintf(stderr, "cranemoorctl: %s\n", text.c_str());
-    return static_cast<int>(ctl::Exit::mistake);
+    return static_cast<int>(ctl::ExitCode::usage_error);
+}
+
+/// A job read from a file, or what is wrong with the file.
+struct JobFile {
+    Json job;
+    std::string error;  // empty: none
+};
+
+/// Reads a submission in JSON and checks its form; file "-" is standard input.
+JobFile read_job_file(const std::string& file) {
+    std::ifstream in;
+    if (file != "-") {
+        in.open(file, std::ios::binary);
+        if (!in) {
+            return {Json(), file + ": cannot be read"};
+        }
+    }
+    std::istream& from = file == "-" ? std::cin : in;
+    std::string text{std::istreambuf_iterator<char>(from), std::istreambuf_iterator<char>()};
+    Json job = Json::parse(text, nullptr, false);
+    if (job.is_discarded()) {
+        return {Json(), file + ": not JSON"};
+    }
+    auto spec = wire::decode_submission(wire::encode_cbor(job));
+    if (!spec) {
+        return {Json(), file + ": " + spec.error().error.message};
+    }
+    return {std::move(job), ""};
 }
 
 }  // namespace
@@ -26,13 +56,13 @@
     app.require_subcommand(1);
     std::string server = "127.0.0.1:8080";
     bool json = false;
-    ctl::Patience patience;
+    ctl::RetryPolicy policy;
     std::string file;
     std::string uid;
     app.add_option("--server", server, "address of the controllers, host:port")
         ->capture_default_str();
     app.add_flag("--json", json, "print answers as JSON");
-    app.add_option("--timeout", patience.request_s, "seconds a request is repeated at the most")
+    app.add_option("--timeout", policy.request_s, "seconds a request is repeated at the most")
         ->check(CLI::Range(0.1, 86400.0))
         ->capture_default_str();
     app.set_version_flag("--version", "cranemoorctl " CRANEMOOR_VERSION);
@@ -45,44 +75,32 @@
     for (auto* command : {status, cancel, wait}) {
         command->add_option("UID", uid, "the job, as in req-000412")->required();
     }
-    wait->add_option("--for", patience.wait_s, "seconds to wait at the most")
+    wait->add_option("--for", policy.wait_s, "seconds to wait at the most")
         ->check(CLI::Range(0.1, 1e7));
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
         int code = app.exit(e);
-        return code == 0 ? 0 : static_cast<int>(ctl::Exit::mistake);
+        return code == 0 ? 0 : static_cast<int>(ctl::ExitCode::usage_error);
     }
     std::signal(SIGPIPE, SIG_IGN);
 
     Json job;
     if (*submit) {
-        std::ifstream in;
-        if (file != "-") {
-            in.open(file, std::ios::binary);
-            if (!in) {
-                return mistake(file + ": cannot be read");
-            }
-        }
-        std::istream& from = file == "-" ? std::cin : in;
-        std::string text{std::istreambuf_iterator<char>(from), std::istreambuf_iterator<char>()};
-        job = Json::parse(text, nullptr, false);
-        if (job.is_discarded()) {
-            return mistake(file + ": not JSON");
-        }
-        auto spec = wire::decode_submission(wire::encode_cbor(job));
-        if (!spec) {
-            return mistake(file + ": " + spec.error().error.message);
+        JobFile read = read_job_file(file);
+        if (!read.error.empty()) {
+            return usage_error(read.error);
         }
+        job = std::move(read.job);
     } else if (!wire::is_valid_uid(uid)) {
-        return mistake("no uid of a job: " + uid);
+        return usage_error("no uid of a job: " + uid);
     }
     cranemoor::io::Loop loop;
-    ctl::ClientRequest errand(loop, server, patience);
-    ctl::Outcome outcome = *submit   ? errand.submit(job)
-                           : *status ? errand.status(uid)
-                           : *cancel ? errand.cancel(uid)
-                                     : errand.wait(uid);
-    std::puts(ctl::describe(outcome, json).c_str());
-    return static_cast<int>(outcome.exit);
+    ctl::ClientRequest request(loop, server, policy);
+    ctl::Response response = *submit   ? request.submit(job)
+                             : *status ? request.status(uid)
+                             : *cancel ? request.cancel(uid)
+                                       : request.wait(uid);
+    std::puts(ctl::describe(response, json).c_str());
+    return static_cast<int>(response.exit);
 }
