--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -1,48 +1,64 @@
 #include "io/cloud_client.hpp"
 
+#include <algorithm>
+#include <utility>
+
 #include "core/model/constants.hpp"
 #include "wire/cloud_messages.hpp"
 
 namespace cranemoor::io {
 
-namespace c = core::constants;
+namespace constants = core::constants;
+
+namespace {
+
+constexpr double timer_s_least = 0.001;  // so that a timer never fires before its budget is there
 
-CloudClient::CloudClient(Loop& loop, const core::Settings& s, Done done)
+}  // namespace
+
+CloudClient::CloudClient(Loop& loop, const core::Settings& settings, Done done)
     : loop_(loop),
       done_(std::move(done)),
-      client_(loop, s.cloud_address, c::cloud_connections, c::cloud_answer_max),
-      budget_(s.cloud_rps * c::cloud_share, s.cloud_rps * c::cloud_share),
-      timer_(loop, [this] { pump(); }) {}
+      client_(loop, settings.cloud_address, constants::cloud_connections,
+              constants::cloud_answer_max),
+      budget_(settings.cloud_rps * constants::cloud_share,
+              settings.cloud_rps * constants::cloud_share),
+      timer_(loop, [this] { send_queued(); }) {}
 
 void CloudClient::call(core::CloudCall call) {
-    // Releases free places that others wait for: they go first.
+    // Releases free capacity that others wait for.
     if (call.kind == core::CloudCall::Kind::release) {
         queue_.push_front(std::move(call));
     } else {
         queue_.push_back(std::move(call));
     }
-    pump();
+    send_queued();
 }
 
-void CloudClient::pump() {
-    double t = loop_.now().steady;
-    while (!queue_.empty() && budget_.has(t, 1)) {
+void CloudClient::send_queued() {
+    double now = loop_.now().steady;
+    while (!queue_.empty() && budget_.has(now, 1)) {
         budget_.take(1);
         core::CloudCall call = std::move(queue_.front());
         queue_.pop_front();
-        auto request = wire::cloud_request(call);
-        client_.request(request.method, request.target, request.body, c::cloud_timeout_s,
-                        [this, call](const HttpMessage* m) {
-                            core::CloudReply reply;
-                            if (m != nullptr) {
-                                reply = wire::decode_cloud_reply(call, m->status, m->body);
-                            }
-                            done_(call.id, reply);
-                        });
+        send(call);
     }
     if (!queue_.empty()) {
-        timer_.start(std::max(0.001, budget_.wait(t, 1)));
+        timer_.start(std::max(timer_s_least, budget_.wait(now, 1)));
     }
 }
 
+void CloudClient::send(const core::CloudCall& call) {
+    auto request = wire::cloud_request(call);
+    client_.request(request.method, request.target, request.body, constants::cloud_timeout_s,
+                    [this, call](const HttpMessage* response) {
+                        core::CloudReply reply;
+                        if (response != nullptr) {
+                            reply =
+                                wire::decode_cloud_reply(call, response->status, response->body);
+                        }
+                        done_(call.id, reply);
+                    });
+}
+
 }  // namespace cranemoor::io
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -2,207 +2,237 @@
 
 #include <spdlog/spdlog.h>
 
+#include <iterator>
+#include <optional>
+#include <utility>
+
 #include "core/model/constants.hpp"
+#include "io/http_status.hpp"
 #include "wire/peer_messages.hpp"
 #include "wire/user_messages.hpp"
 #include "wire/worker_messages.hpp"
 
 namespace cranemoor::io {
 
-namespace c = core::constants;
-
-namespace {
-const std::string work = "/work";
-}  // namespace
+namespace constants = core::constants;
 
 Gateway::Gateway(Loop& loop, const core::Settings& settings, core::Controller& controller)
     : loop_(loop),
       settings_(settings),
       controller_(controller),
-      front_(loop, settings.serve_on,
-             static_cast<std::size_t>(settings.max_connections * c::front_share),
-             [this](std::uint64_t r, HttpMessage&& m) { serve(r, std::move(m)); }),
-      back_(loop, settings.back, c::back_connections,
-            [this](std::uint64_t r, HttpMessage&& m) { serve_back(r, std::move(m)); }),
+      client_server_(
+          loop, settings.serve_on,
+          static_cast<std::size_t>(settings.max_connections * constants::front_share),
+          [this](std::uint64_t request, HttpMessage&& message) { serve_client(request, message); }),
+      peer_server_(
+          loop, settings.back, constants::back_connections,
+          [this](std::uint64_t request, HttpMessage&& message) { serve_peer(request, message); }),
       store_(loop, settings,
-             [this](std::uint64_t id, const core::StoreReply& r) {
-                 controller_.store_reply(loop_.now(), id, r);
-                 act();
+             [this](std::uint64_t call, const core::StoreReply& reply) {
+                 controller_.store_reply(loop_.now(), call, reply);
+                 perform_actions();
              }),
       cloud_(loop, settings,
-             [this](std::uint64_t id, const core::CloudReply& r) {
-                 controller_.cloud_reply(loop_.now(), id, r);
-                 act();
+             [this](std::uint64_t call, const core::CloudReply& reply) {
+                 controller_.cloud_reply(loop_.now(), call, reply);
+                 perform_actions();
              }),
-      tick_(loop,
-            [this] {
-                controller_.tick(loop_.now());
-                act();
-            }),
-      pruner_(loop, [this] { prune(); }) {
-    for (const auto& p : settings.peers) {
-        peers_[p.name] =
-            std::make_unique<HttpClient>(loop, p.address, c::peer_connections, c::peer_answer_max);
+      tick_timer_(loop,
+                  [this] {
+                      controller_.tick(loop_.now());
+                      perform_actions();
+                  }),
+      prune_timer_(loop, [this] { prune_worker_clients(); }) {
+    for (const auto& peer : settings.peers) {
+        peers_[peer.name] = std::make_unique<HttpClient>(
+            loop, peer.address, constants::peer_connections, constants::peer_answer_max);
     }
 }
 
 void Gateway::start() {
     controller_.start(loop_.now());
-    act();
-    tick_.start(c::core_tick_s, c::core_tick_s);
-    pruner_.start(c::worker_prune_s, c::worker_prune_s);
+    perform_actions();
+    tick_timer_.start(constants::core_tick_s, constants::core_tick_s);
+    prune_timer_.start(constants::worker_prune_s, constants::worker_prune_s);
 }
 
-void Gateway::serve(std::uint64_t request, HttpMessage&& m) {
+// --- requests of users and workers
+
+void Gateway::serve_client(std::uint64_t request, const HttpMessage& message) {
+    std::string path = message.target.substr(0, message.target.find('?'));
+    if (path == wire::health_path && message.method == "GET") {
+        serve_health(request);
+    } else if (path == wire::heartbeat_path && message.method == "POST") {
+        serve_heartbeat(request, message.body);
+    } else if (path == wire::submission_path && message.method == "POST") {
+        serve_submission(request, message.body);
+    } else if (wire::is_job_path(path)) {
+        serve_job(request, message.method, path);
+    } else {
+        serve_unrouted(request, path);
+    }
+}
+
+void Gateway::serve_health(std::uint64_t request) {
+    bool healthy = controller_.healthy(loop_.now());
+    client_server_.reply(request, healthy ? http_status::ok : http_status::service_unavailable, "");
+}
+
+void Gateway::serve_heartbeat(std::uint64_t request, const std::string& body) {
     core::Now now = loop_.now();
-    std::string path = m.target.substr(0, m.target.find('?'));
-    if (path == "/healthz" && m.method == "GET") {
-        front_.reply(request, controller_.healthy(now) ? 200 : 503, "");
+    auto heartbeat = wire::decode_heartbeat_body(body);
+    if (!heartbeat) {
+        client_server_.reply(request, http_status::bad_request, "");
         return;
     }
-    if (path == "/hello" && m.method == "POST") {
-        auto report = wire::decode_heartbeat_body(m.body);
-        if (!report) {
-            front_.reply(request, 400, "");
-            return;
-        }
-        controller_.report(now, request, *report, false);
-    } else if (path == work && m.method == "POST") {
-        auto spec = wire::decode_submission(m.body);
-        if (spec) {
-            controller_.submit(now, request, *spec);
-        } else {
-            controller_.invalid(now, request, spec.error().uid, spec.error().error.message);
-        }
-    } else if (path.compare(0, work.size() + 1, work + "/") == 0) {
-        std::string uid = path.substr(work.size() + 1);
-        const std::string tail = "/cancel";
-        bool cancel = uid.size() > tail.size() &&
-                      uid.compare(uid.size() - tail.size(), tail.size(), tail) == 0;
-        if (cancel) {
-            uid.resize(uid.size() - tail.size());
-        }
-        if (m.method != (cancel ? "POST" : "GET")) {
-            front_.reply(request, 405, "");
-        } else if (!wire::is_valid_uid(uid)) {
-            front_.reply(request, 404, "");  // nothing can have been accepted under such a name
-        } else if (cancel) {
-            controller_.cancel(now, request, uid);
-        } else {
-            controller_.poll(now, request, uid);
-        }
+    controller_.report(now, request, *heartbeat, false);
+    perform_actions();
+}
+
+void Gateway::serve_submission(std::uint64_t request, const std::string& body) {
+    core::Now now = loop_.now();
+    auto spec = wire::decode_submission(body);
+    if (spec) {
+        controller_.submit(now, request, *spec);
+    } else {
+        controller_.invalid(now, request, spec.error().uid, spec.error().error.message);
+    }
+    perform_actions();
+}
+
+// A poll or a cancellation of one job.
+void Gateway::serve_job(std::uint64_t request, const std::string& method, const std::string& path) {
+    core::Now now = loop_.now();
+    wire::JobPath job = wire::parse_job_path(path);
+    if (method != (job.is_cancellation ? "POST" : "GET")) {
+        client_server_.reply(request, http_status::method_not_allowed, "");
+    } else if (!wire::is_valid_uid(job.uid)) {
+        // Nothing can have been accepted under such a name.
+        client_server_.reply(request, http_status::not_found, "");
+    } else if (job.is_cancellation) {
+        controller_.cancel(now, request, job.uid);
     } else {
-        bool known = path == "/healthz" || path == "/hello" || path == work;
-        front_.reply(request, known ? 405 : 404, "");
+        controller_.poll(now, request, job.uid);
     }
-    act();
+    perform_actions();
 }
 
-void Gateway::serve_back(std::uint64_t request, HttpMessage&& m) {
-    if (m.method != "POST" || m.target != "/peer") {
-        back_.reply(request, 404, "");
+// A path that is unknown, or was not asked for with its method.
+void Gateway::serve_unrouted(std::uint64_t request, const std::string& path) {
+    bool is_known =
+        path == wire::health_path || path == wire::heartbeat_path || path == wire::submission_path;
+    client_server_.reply(request,
+                         is_known ? http_status::method_not_allowed : http_status::not_found, "");
+    perform_actions();
+}
+
+// --- requests of the other controllers
+
+void Gateway::serve_peer(std::uint64_t request, const HttpMessage& message) {
+    if (message.method != "POST" || message.target != wire::peer_path) {
+        peer_server_.reply(request, http_status::not_found, "");
         return;
     }
-    auto message = wire::decode_peer_call(m.body);
-    if (!message) {
-        back_.reply(request, 400, "");
+    auto decoded = wire::decode_peer_call(message.body);
+    if (!decoded) {
+        peer_server_.reply(request, http_status::bad_request, "");
         return;
     }
-    controller_.peer_message(loop_.now(), message->from, message->call);
-    if (message->call.relay) {
-        controller_.report(loop_.now(), request, *message->call.relay, true);
+    const core::PeerCall& call = decoded->call;
+    controller_.peer_message(loop_.now(), decoded->from, call);
+    if (call.relay) {
+        controller_.report(loop_.now(), request, *call.relay, true);
     } else {
-        back_.reply(request, 200, "");
+        peer_server_.reply(request, http_status::ok, "");
     }
-    act();
+    perform_actions();
 }
 
-void Gateway::act() {
-    if (acting_) {
+// --- the controller's actions
+
+void Gateway::perform_actions() {
+    if (performing_) {
         return;  // the outer call goes on until nothing is left
     }
-    acting_ = true;
+    performing_ = true;
     while (true) {
         auto actions = controller_.take();
         if (actions.empty()) {
             break;
         }
         for (const auto& action : actions) {
-            std::visit([this](const auto& a) { act(a); }, action);
+            std::visit([this](const auto& each) { perform(each); }, action);
         }
     }
-    acting_ = false;
+    performing_ = false;
 }
 
-void Gateway::act(const core::UserReply& r) {
-    // With 503 the connection is closed: the load balancer then picks a node anew.
-    bool busy = r.status == 503;
-    front_.reply(r.request, r.status, wire::encode_user_reply(r), busy ? r.retry_after_s : 0, busy,
-                 sockets::ClientKind::user);
+void Gateway::perform(const core::UserReply& reply) {
+    // With 503 the connection is closed, so that the load balancer picks a controller anew.
+    bool refused = reply.status == http_status::service_unavailable;
+    client_server_.reply(reply.request, reply.status, wire::encode_user_reply(reply),
+                         refused ? reply.retry_after_s : 0, refused, sockets::ClientKind::user);
 }
 
-void Gateway::act(const core::WorkerReply& r) {
-    if (back_.knows(r.request)) {
-        back_.reply(r.request, 200, wire::encode_peer_reply(r));
+void Gateway::perform(const core::WorkerReply& reply) {
+    if (peer_server_.knows(reply.request)) {
+        peer_server_.reply(reply.request, http_status::ok, wire::encode_peer_reply(reply));
     } else {
-        front_.reply(r.request, r.status, wire::encode_worker_reply(r), 0, false,
-                     sockets::ClientKind::worker);
+        client_server_.reply(reply.request, reply.status, wire::encode_worker_reply(reply), 0,
+                             false, sockets::ClientKind::worker);
     }
 }
 
-void Gateway::act(const core::StoreCall& call) {
+void Gateway::perform(const core::StoreCall& call) {
     store_.call(call);
 }
 
-void Gateway::act(const core::CloudCall& call) {
+void Gateway::perform(const core::CloudCall& call) {
     cloud_.call(call);
 }
 
-HttpClient& Gateway::worker(const std::string& address) {
-    auto& client = workers_[address];
-    if (!client) {
-        client =
-            std::make_unique<HttpClient>(loop_, address, c::worker_connections, c::peer_answer_max);
-    }
-    return *client;
+void Gateway::perform(const core::WorkerCommandCall& call) {
+    wire::HttpRequest request = wire::worker_request(call);
+    worker_client(call.address)
+        .request(request.method, request.target, request.body, constants::order_timeout_s,
+                 [this, id = call.id](const HttpMessage* response) {
+                     handle_worker_response(id, response);
+                 });
 }
 
-void Gateway::act(const core::WorkerCommandCall& call) {
-    bool status = call.agent_epoch == 0;
-    worker(call.address)
-        .request(status ? "GET" : "POST", status ? "/status" : "/orders",
-                 status ? "" : wire::encode_worker_commands(call), c::order_timeout_s,
-                 [this, id = call.id](const HttpMessage* m) {
-                     core::WorkerCommandReply reply;
-                     if (m != nullptr) {
-                         reply.answered = true;
-                         reply.executed = m->status == 200;
-                         reply.heartbeat = wire::decode_heartbeat_body(m->body).to_optional();
-                     }
-                     controller_.worker_command_reply(loop_.now(), id, reply);
-                     act();
-                 });
+void Gateway::handle_worker_response(std::uint64_t call, const HttpMessage* response) {
+    core::WorkerCommandReply reply;
+    if (response != nullptr) {
+        reply.answered = true;
+        reply.executed = response->status == http_status::ok;
+        reply.heartbeat = wire::decode_heartbeat_body(response->body).to_optional();
+    }
+    controller_.worker_command_reply(loop_.now(), call, reply);
+    perform_actions();
 }
 
-void Gateway::act(const core::PeerCall& call) {
-    auto it = peers_.find(call.peer);
-    if (it == peers_.end()) {
+void Gateway::perform(const core::PeerCall& call) {
+    auto peer = peers_.find(call.peer);
+    if (peer == peers_.end()) {
         controller_.peer_reply(loop_.now(), call.id, false, std::nullopt);
         return;
     }
-    it->second->request("POST", "/peer", wire::encode_peer_call(settings_.name, call),
-                        call.relay ? c::relay_timeout_s : c::peer_beat_s,
-                        [this, id = call.id](const HttpMessage* m) {
-                            std::optional<core::WorkerReply> reply;
-                            if (m != nullptr && m->status == 200 && !m->body.empty()) {
-                                reply = wire::decode_peer_reply(m->body).to_optional();
-                            }
-                            controller_.peer_reply(loop_.now(), id, m != nullptr, reply);
-                            act();
-                        });
+    double timeout_s = call.relay ? constants::relay_timeout_s : constants::peer_beat_s;
+    peer->second->request(
+        "POST", wire::peer_path, wire::encode_peer_call(settings_.name, call), timeout_s,
+        [this, id = call.id](const HttpMessage* response) { handle_peer_response(id, response); });
 }
 
-void Gateway::act(const core::LogLine& line) {
+void Gateway::handle_peer_response(std::uint64_t call, const HttpMessage* response) {
+    std::optional<core::WorkerReply> reply;
+    if (response != nullptr && response->status == http_status::ok && !response->body.empty()) {
+        reply = wire::decode_peer_reply(response->body).to_optional();
+    }
+    controller_.peer_reply(loop_.now(), call, response != nullptr, reply);
+    perform_actions();
+}
+
+void Gateway::perform(const core::LogLine& line) {
     switch (line.level) {
         case core::LogLine::Level::error:
             spdlog::error("{}", line.text);
@@ -216,15 +246,28 @@
     }
 }
 
-// Connections to workers are kept for the next command, unless they are many: after a take-over
-// there is one to each machine, and the sockets are needed for their reports.
-void Gateway::prune() {
-    double t = loop_.now().steady;
-    auto most = static_cast<std::size_t>(settings_.max_connections * c::orders_share);
+// --- connections to workers
+
+HttpClient& Gateway::worker_client(const std::string& address) {
+    auto& client = workers_[address];
+    if (!client) {
+        client = std::make_unique<HttpClient>(loop_, address, constants::worker_connections,
+                                              constants::peer_answer_max);
+    }
+    return *client;
+}
+
+// Connections to workers are kept for the next command, unless they are many: after a failover
+// there is one to each machine, and the sockets are needed for heartbeats.
+void Gateway::prune_worker_clients() {
+    double now = loop_.now().steady;
+    auto clients_max =
+        static_cast<std::size_t>(settings_.max_connections * constants::orders_share);
     for (auto it = workers_.begin(); it != workers_.end();) {
-        bool spare = workers_.size() > most && !it->second->busy();
-        bool idle = spare || t - it->second->last_used() > c::worker_idle_s;
-        it = idle ? workers_.erase(it) : std::next(it);
+        const HttpClient& client = *it->second;
+        bool is_surplus = workers_.size() > clients_max && !client.busy();
+        bool is_idle = now - client.last_used() > constants::worker_idle_s;
+        it = is_surplus || is_idle ? workers_.erase(it) : std::next(it);
     }
 }
 
--- a/src/io/gateway.hpp
+++ b/src/io/gateway.hpp
@@ -1,7 +1,8 @@
-// Gateway: the sockets and timers round one controller. It turns messages into the core's inputs
+// Gateway: the sockets and timers around one controller. It turns messages into the core's inputs
 // and the core's actions into messages.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
@@ -15,37 +16,54 @@
 
 namespace cranemoor::io {
 
+/// Connects one controller to users, workers, the other controllers, the key-value store and the
+/// cloud. All runs on the thread of the loop.
 class Gateway {
   public:
+    /// Listens on the addresses of the settings; throws `std::runtime_error` if it can't.
     Gateway(Loop& loop, const core::Settings& settings, core::Controller& controller);
+
+    /// Starts the controller and its timers.
     void start();
 
   private:
-    void serve(std::uint64_t request, HttpMessage&& message);
-    void serve_back(std::uint64_t request, HttpMessage&& message);
-    void act();  // carries out what the core returned
-    void act(const core::UserReply& reply);
-    void act(const core::WorkerReply& reply);
-    void act(const core::StoreCall& call);
-    void act(const core::CloudCall& call);
-    void act(const core::WorkerCommandCall& call);
-    void act(const core::PeerCall& call);
-    void act(const core::LogLine& line);
-    void prune();
-    HttpClient& worker(const std::string& address);
+    // Requests of users and workers.
+    void serve_client(std::uint64_t request, const HttpMessage& message);
+    void serve_health(std::uint64_t request);
+    void serve_heartbeat(std::uint64_t request, const std::string& body);
+    void serve_submission(std::uint64_t request, const std::string& body);
+    void serve_job(std::uint64_t request, const std::string& method, const std::string& path);
+    void serve_unrouted(std::uint64_t request, const std::string& path);
+    // Requests of the other controllers.
+    void serve_peer(std::uint64_t request, const HttpMessage& message);
+
+    // Performs all actions that the controller has asked for.
+    void perform_actions();
+    void perform(const core::UserReply& reply);
+    void perform(const core::WorkerReply& reply);
+    void perform(const core::StoreCall& call);
+    void perform(const core::CloudCall& call);
+    void perform(const core::WorkerCommandCall& call);
+    void perform(const core::PeerCall& call);
+    static void perform(const core::LogLine& line);
+
+    void handle_worker_response(std::uint64_t call, const HttpMessage* response);
+    void handle_peer_response(std::uint64_t call, const HttpMessage* response);
+    HttpClient& worker_client(const std::string& address);
+    void prune_worker_clients();
 
     Loop& loop_;
     const core::Settings settings_;
     core::Controller& controller_;
-    HttpServer front_;
-    HttpServer back_;
+    HttpServer client_server_;
+    HttpServer peer_server_;
     StoreClient store_;
     CloudClient cloud_;
-    std::map<std::string, std::unique_ptr<HttpClient>> peers_;
-    std::map<std::string, std::unique_ptr<HttpClient>> workers_;
-    Timer tick_;
-    Timer pruner_;
-    bool acting_ = false;
+    std::map<std::string, std::unique_ptr<HttpClient>> peers_;    // by name
+    std::map<std::string, std::unique_ptr<HttpClient>> workers_;  // by address
+    Timer tick_timer_;
+    Timer prune_timer_;
+    bool performing_ = false;  // guards against recursion
 };
 
 }  // namespace cranemoor::io
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -5,16 +5,28 @@
 #include <algorithm>
 #include <array>
 #include <cerrno>
+#include <utility>
 
 namespace cranemoor::io {
 
+namespace {
+
+constexpr std::size_t read_bytes = 16384;  // at most, with one call
+constexpr double timeout_s_least = 0.001;  // so that no timer is set to the past
+
+bool is_temporary(int error) {
+    return error == EAGAIN || error == EINTR;
+}
+
+}  // namespace
+
 HttpClient::HttpClient(Loop& loop, std::string address, std::size_t connections_max,
                        std::size_t body_max)
     : loop_(loop),
       address_(std::move(address)),
       connections_max_(connections_max),
       body_max_(body_max),
-      queue_timer_(loop, [this] { expire(); }) {}
+      queue_timer_(loop, [this] { expire_queued(); }) {}
 
 HttpClient::~HttpClient() = default;
 
@@ -28,156 +40,185 @@
     call->done = std::move(done);
     last_used_ = loop_.now().steady;
     queue_.push_back(std::move(call));
-    pump();
+    send_queued();
 }
 
 bool HttpClient::busy() const {
-    return !queue_.empty() || std::any_of(connections_.begin(), connections_.end(),
-                                          [](const auto& c) { return c.second->call != nullptr; });
+    return !queue_.empty() ||
+           std::any_of(connections_.begin(), connections_.end(),
+                       [](const auto& entry) { return entry.second->call != nullptr; });
 }
 
-void HttpClient::pump() {
+// --- the queue
+
+// Sends queued calls while connections are free or can be opened, and sets the timer for the rest.
+void HttpClient::send_queued() {
     while (!queue_.empty()) {
-        std::uint64_t id = 0;
-        for (const auto& [n, c] : connections_) {
-            if (!c->call) {
-                id = n;
-                break;
-            }
-        }
-        if (id == 0 && connections_.size() < connections_max_) {
-            int fd = connect_to(address_);
-            if (fd >= 0) {
-                id = ++next_;
-                auto c = std::make_unique<Connection>(body_max_);
-                c->descriptor = std::make_unique<Descriptor>(
-                    loop_, fd, [this, id](int events) { ready(id, events); });
-                connections_[id] = std::move(c);
-            } else if (connections_.empty()) {
-                // No socket to be had, and none that will free up: said at once. The answer is
-                // given from the loop, never from inside the call that asked.
+        std::optional<std::uint64_t> id = free_connection();
+        if (!id && connections_.size() < connections_max_) {
+            id = open_connection();
+            if (!id && connections_.empty()) {
+                // No socket to be had, and none that will become free: all calls fail, from the
+                // loop, since no callback may come from inside request().
                 queue_timer_.start(0);
                 return;
             }
         }
-        if (id == 0) {
+        if (!id) {
             if (!queue_timer_.active()) {
-                double wait = queue_.front()->deadline - loop_.now().steady;
-                queue_timer_.start(std::max(0.0, wait));
+                double wait_s = queue_.front()->deadline - loop_.now().steady;
+                queue_timer_.start(std::max(0.0, wait_s));
             }
             return;
         }
         auto call = std::move(queue_.front());
         queue_.pop_front();
-        start(id, std::move(call));
+        start(*id, std::move(call));
     }
 }
 
-void HttpClient::expire() {
-    double t = loop_.now().steady;
+std::optional<std::uint64_t> HttpClient::free_connection() const {
+    for (const auto& [id, connection] : connections_) {
+        if (!connection->call) {
+            return id;
+        }
+    }
+    return std::nullopt;
+}
+
+std::optional<std::uint64_t> HttpClient::open_connection() {
+    int fd = connect_to(address_);
+    if (fd < 0) {
+        return std::nullopt;
+    }
+    std::uint64_t id = ++last_connection_;
+    auto connection = std::make_unique<Connection>(body_max_);
+    connection->descriptor = std::make_unique<Descriptor>(
+        loop_, fd, [this, id](int events) { handle_events(id, events); });
+    connections_[id] = std::move(connection);
+    return id;
+}
+
+// Ends the queued calls whose time is over; without any connection all of them.
+void HttpClient::expire_queued() {
+    double now = loop_.now().steady;
     bool no_socket = connections_.empty();
-    std::deque<std::unique_ptr<Call>> late;
+    std::deque<std::unique_ptr<Call>> expired;
     for (auto it = queue_.begin(); it != queue_.end();) {
-        if (no_socket || (*it)->deadline <= t) {
-            late.push_back(std::move(*it));
+        if (no_socket || (*it)->deadline <= now) {
+            expired.push_back(std::move(*it));
             it = queue_.erase(it);
         } else {
             ++it;
         }
     }
-    for (auto& call : late) {
+    for (auto& call : expired) {
         call->done(nullptr);
     }
-    pump();
+    send_queued();
 }
 
+// --- calls in progress
+
 void HttpClient::start(std::uint64_t id, std::unique_ptr<Call> call) {
-    Connection& c = *connections_.at(id);
-    c.out = http_request(call->method, call->target, address_, call->body);
-    c.answered = false;
-    c.timer = std::make_unique<Timer>(loop_, [this, id] { finish(id, nullptr, false); });
-    c.timer->start(std::max(0.001, call->deadline - loop_.now().steady));
-    c.call = std::move(call);
-    c.descriptor->watch(EV_READ | EV_WRITE);
+    Connection& connection = *connections_.at(id);
+    connection.output = http_request(call->method, call->target, address_, call->body);
+    connection.response_has_begun = false;
+    connection.timer = std::make_unique<Timer>(loop_, [this, id] { finish(id, nullptr, false); });
+    connection.timer->start(std::max(timeout_s_least, call->deadline - loop_.now().steady));
+    connection.call = std::move(call);
+    connection.descriptor->watch(EV_READ | EV_WRITE);
 }
 
-void HttpClient::ready(std::uint64_t id, int events) {
+void HttpClient::handle_events(std::uint64_t id, int events) {
     auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
     }
-    Connection& c = *it->second;
-    if ((events & EV_WRITE) != 0 && !c.out.empty()) {
-        ssize_t n = ::send(c.descriptor->fd(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
-        if (n < 0 && errno != EAGAIN && errno != EINTR && errno != ENOTCONN) {
-            fail(id);
-            return;
-        }
-        if (n > 0) {
-            c.out.erase(0, static_cast<std::size_t>(n));
-        }
+    Connection& connection = *it->second;
+    if ((events & EV_WRITE) != 0 && !write(id, connection)) {
+        return;
     }
-    if ((events & EV_READ) != 0) {
-        std::array<char, 16384> chunk{};
-        ssize_t n = ::recv(c.descriptor->fd(), chunk.data(), chunk.size(), 0);
-        if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-            return;
-        }
-        HttpParser::State state = HttpParser::State::more;
-        if (n <= 0) {
-            state = c.call && n == 0 ? c.parser.end() : HttpParser::State::bad;
-            if (state != HttpParser::State::complete) {
-                fail(id);
-                return;
-            }
-        } else {
-            c.answered = true;
-            state = c.parser.feed({chunk.data(), static_cast<std::size_t>(n)});
-        }
-        if (state == HttpParser::State::complete) {
-            HttpMessage message = c.parser.take();
-            finish(id, &message, message.keep_alive && n > 0);
-            return;
-        }
-        if (state != HttpParser::State::more) {
-            fail(id);
-            return;
-        }
+    if ((events & EV_READ) != 0 && !read(id, connection)) {
+        return;
+    }
+    connection.descriptor->watch(connection.output.empty() ? EV_READ : EV_READ | EV_WRITE);
+}
+
+bool HttpClient::write(std::uint64_t id, Connection& connection) {
+    std::string& output = connection.output;
+    if (output.empty()) {
+        return true;
+    }
+    ssize_t size = ::send(connection.descriptor->fd(), output.data(), output.size(), MSG_NOSIGNAL);
+    if (size < 0 && !is_temporary(errno) && errno != ENOTCONN) {
+        fail(id);
+        return false;
+    }
+    if (size > 0) {
+        output.erase(0, static_cast<std::size_t>(size));
+    }
+    return true;
+}
+
+bool HttpClient::read(std::uint64_t id, Connection& connection) {
+    std::array<char, read_bytes> bytes{};
+    ssize_t size = ::recv(connection.descriptor->fd(), bytes.data(), bytes.size(), 0);
+    if (size < 0 && is_temporary(errno)) {
+        return false;  // watched as before
+    }
+    HttpParser::State state = HttpParser::State::bad;
+    if (size > 0) {
+        connection.response_has_begun = true;
+        state = connection.parser.feed({bytes.data(), static_cast<std::size_t>(size)});
+    } else if (size == 0 && connection.call &&
+               connection.parser.end() == HttpParser::State::complete) {
+        state = HttpParser::State::complete;
+    }
+    if (state == HttpParser::State::complete) {
+        HttpMessage response = connection.parser.take();
+        finish(id, &response, response.keep_alive && size > 0);
+        return false;
+    }
+    if (state != HttpParser::State::more) {
+        fail(id);
+        return false;
     }
-    c.descriptor->watch(c.out.empty() ? EV_READ : EV_READ | EV_WRITE);
+    return true;
 }
 
 void HttpClient::fail(std::uint64_t id) {
-    Connection& c = *connections_.at(id);
-    // A kept connection that the other side closed just as we used it: said again once, on a
-    // new one. It may have been executed, but then the answer to the second says so as well as
-    // none would; only GETs are repeated.
-    if (c.call && !c.fresh && !c.answered && !c.call->retried && c.call->method == "GET") {
-        auto call = std::move(c.call);
-        call->retried = true;
+    Connection& connection = *connections_.at(id);
+    // A kept connection that the other side closed just as it was used: sent once more, on a new
+    // one. The first may have been executed all the same, so only GETs are repeated.
+    bool was_closed_unused =
+        connection.call && !connection.is_new && !connection.response_has_begun;
+    if (was_closed_unused && !connection.call->is_retry && connection.call->method == "GET") {
+        auto call = std::move(connection.call);
+        call->is_retry = true;
         connections_.erase(id);
         queue_.push_front(std::move(call));
-        pump();
+        send_queued();
         return;
     }
     finish(id, nullptr, false);
 }
 
-void HttpClient::finish(std::uint64_t id, const HttpMessage* message, bool keep) {
-    Connection& c = *connections_.at(id);
-    auto call = std::move(c.call);
-    c.timer.reset();
-    c.fresh = false;
-    if (keep && message != nullptr) {
-        c.out.clear();
-        c.descriptor->watch(EV_READ);
+void HttpClient::finish(std::uint64_t id, const HttpMessage* response, bool keep) {
+    Connection& connection = *connections_.at(id);
+    auto call = std::move(connection.call);
+    connection.timer.reset();
+    connection.is_new = false;
+    if (keep && response != nullptr) {
+        connection.output.clear();
+        connection.descriptor->watch(EV_READ);
     } else {
         connections_.erase(id);
     }
     if (call) {
-        call->done(message);
+        call->done(response);
     }
-    pump();
+    send_queued();
 }
 
 }  // namespace cranemoor::io
--- a/src/io/http_parser.cpp
+++ b/src/io/http_parser.cpp
@@ -11,41 +11,51 @@
 
 namespace {
 
-bool token_char(char c) {
+constexpr std::size_t length_digits_max = 12;  // of a content length, so that it never overflows
+
+// RFC 9110, section 5.6.2.
+bool is_token_char(char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
-std::string trim(std::string_view s) {
-    while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) {
-        s.remove_prefix(1);
+std::string trim(std::string_view text) {
+    constexpr std::string_view blanks = " \t";
+    while (!text.empty() && blanks.find(text.front()) != std::string_view::npos) {
+        text.remove_prefix(1);
     }
-    while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) {
-        s.remove_suffix(1);
+    while (!text.empty() && blanks.find(text.back()) != std::string_view::npos) {
+        text.remove_suffix(1);
     }
-    return std::string(s);
+    return std::string(text);
 }
 
-std::string lower(std::string s) {
-    std::transform(s.begin(), s.end(), s.begin(),
+std::string to_lower(std::string text) {
+    std::transform(text.begin(), text.end(), text.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    return s;
+    return text;
 }
 
-bool has_word(const std::string& list, std::string_view word) {
-    std::string text = lower(list);
-    std::size_t at = 0;
-    while (at <= text.size()) {
-        std::size_t comma = std::min(text.find(',', at), text.size());
-        if (trim(std::string_view(text).substr(at, comma - at)) == word) {
+// Whether a comma-separated list contains an element, in lower case.
+bool list_contains(const std::string& list, std::string_view element) {
+    std::string text = to_lower(list);
+    std::size_t begin = 0;
+    while (begin <= text.size()) {
+        std::size_t comma = std::min(text.find(',', begin), text.size());
+        if (trim(std::string_view(text).substr(begin, comma - begin)) == element) {
             return true;
         }
-        at = comma + 1;
+        begin = comma + 1;
     }
     return false;
 }
 
-const char* reason(int status) {
+bool is_digits(const std::string& text) {
+    return std::all_of(text.begin(), text.end(),
+                       [](unsigned char c) { return std::isdigit(c) != 0; });
+}
+
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -106,14 +116,15 @@
     message_ = HttpMessage();
     stage_ = Stage::start;
     head_bytes_ = 0;
-    continue_ = false;
+    expects_continue_ = false;
     return done;
 }
 
 bool HttpParser::wants_continue() {
-    bool now = continue_ && stage_ == Stage::body && message_.body.empty() && buffer_.empty();
+    bool now =
+        expects_continue_ && stage_ == Stage::body && message_.body.empty() && buffer_.empty();
     if (now) {
-        continue_ = false;
+        expects_continue_ = false;
     }
     return now;
 }
@@ -126,7 +137,7 @@
 }
 
 // The next line without its end; false if it isn't whole yet.
-bool HttpParser::line(std::string& out) {
+bool HttpParser::next_line(std::string& out) {
     std::size_t end = buffer_.find('\n');
     std::size_t seen = end == std::string::npos ? buffer_.size() : end + 1;
     if (head_bytes_ + seen > constants::head_max) {
@@ -142,7 +153,7 @@
     return true;
 }
 
-bool HttpParser::start_line(const std::string& text) {
+bool HttpParser::parse_start_line(const std::string& text) {
     auto first = text.find(' ');
     if (first == std::string::npos) {
         return false;
@@ -157,7 +168,7 @@
         message_.target = text.substr(first + 1, second - first - 1);
         version = text.substr(second + 1);
         if (message_.method.empty() || message_.target.empty() ||
-            !std::all_of(message_.method.begin(), message_.method.end(), token_char) ||
+            !std::all_of(message_.method.begin(), message_.method.end(), is_token_char) ||
             std::any_of(message_.target.begin(), message_.target.end(),
                         [](unsigned char c) { return c <= ' ' || c == 0x7f; })) {
             return false;
@@ -172,17 +183,17 @@
         }
         message_.status = std::stoi(code);
     }
-    http_1_0_ = version == "HTTP/1.0";
-    return version == "HTTP/1.1" || http_1_0_;
+    is_http_1_0_ = version == "HTTP/1.0";
+    return version == "HTTP/1.1" || is_http_1_0_;
 }
 
-bool HttpParser::header_line(const std::string& text) {
+bool HttpParser::parse_header_line(const std::string& text) {
     auto colon = text.find(':');
     if (colon == std::string::npos || colon == 0) {
         return false;
     }
     std::string name = text.substr(0, colon);
-    if (!std::all_of(name.begin(), name.end(), token_char)) {
+    if (!std::all_of(name.begin(), name.end(), is_token_char)) {
         return false;  // also a folded line, which begins with a blank
     }
     std::string value = trim(std::string_view(text).substr(colon + 1));
@@ -190,160 +201,183 @@
                     [](unsigned char c) { return c < ' ' && c != '\t'; })) {
         return false;
     }
-    message_.headers.emplace_back(lower(name), std::move(value));
+    message_.headers.emplace_back(to_lower(name), std::move(value));
     return true;
 }
 
-void HttpParser::headers_done() {
-    message_.keep_alive = !http_1_0_;
-    bool chunked = false;
-    const std::string* length = nullptr;
+// Reads the headers that frame the body. False if they contradict each other.
+bool HttpParser::read_framing(Framing& framing) {
+    message_.keep_alive = !is_http_1_0_;
     for (const auto& [name, value] : message_.headers) {
         if (name == "connection") {
-            if (has_word(value, "close")) {
+            if (list_contains(value, "close")) {
                 message_.keep_alive = false;
-            } else if (has_word(value, "keep-alive")) {
+            } else if (list_contains(value, "keep-alive")) {
                 message_.keep_alive = true;
             }
         } else if (name == "transfer-encoding") {
-            if (lower(value) != "chunked" || chunked) {
-                stage_ = Stage::bad;
-                return;
+            if (to_lower(value) != "chunked" || framing.is_chunked) {
+                return false;
             }
-            chunked = true;
+            framing.is_chunked = true;
         } else if (name == "content-length") {
             // Two lengths that differ are how one message is smuggled inside another.
-            if (length != nullptr && *length != value) {
-                stage_ = Stage::bad;
-                return;
+            if (framing.length != nullptr && *framing.length != value) {
+                return false;
             }
-            length = &value;
-        } else if (name == "expect" && lower(value) == "100-continue") {
-            continue_ = true;
+            framing.length = &value;
+        } else if (name == "expect" && to_lower(value) == "100-continue") {
+            expects_continue_ = true;
         }
     }
-    if (chunked && length != nullptr) {
-        stage_ = Stage::bad;
-        return;
-    }
-    if (role_ == Role::response &&
+    return !framing.is_chunked || framing.length == nullptr;
+}
+
+// The stage after the headers.
+HttpParser::Stage HttpParser::body_stage(const Framing& framing) {
+    bool is_response = role_ == Role::response;
+    if (is_response &&
         (message_.status < 200 || message_.status == 204 || message_.status == 304)) {
-        stage_ = Stage::complete;
-        return;
+        return Stage::complete;
     }
-    if (chunked) {
-        stage_ = Stage::chunk_size;
-        return;
+    if (framing.is_chunked) {
+        return Stage::chunk_size;
     }
-    if (length == nullptr) {
-        stage_ = role_ == Role::response ? Stage::until_close : Stage::complete;
-        return;
+    if (framing.length == nullptr) {
+        return is_response ? Stage::until_close : Stage::complete;
     }
-    if (length->empty() || !std::all_of(length->begin(), length->end(),
-                                        [](unsigned char c) { return std::isdigit(c) != 0; })) {
-        stage_ = Stage::bad;
-        return;
+    const std::string& length = *framing.length;
+    if (length.empty() || !is_digits(length)) {
+        return Stage::bad;
     }
-    if (length->size() > 12 || std::stoull(*length) > body_max_) {
-        stage_ = Stage::too_large;
-        return;
+    if (length.size() > length_digits_max || std::stoull(length) > body_max_) {
+        return Stage::too_large;
     }
-    left_ = std::stoull(*length);
-    stage_ = left_ == 0 ? Stage::complete : Stage::body;
+    remaining_ = std::stoull(length);
+    return remaining_ == 0 ? Stage::complete : Stage::body;
+}
+
+void HttpParser::finish_headers() {
+    Framing framing;
+    stage_ = read_framing(framing) ? body_stage(framing) : Stage::bad;
 }
 
 HttpParser::State HttpParser::advance() {
-    std::string text;
-    while (true) {
-        switch (stage_) {
-            case Stage::start:
-                if (!line(text)) {
-                    return state();
-                }
-                if (text.empty() && role_ == Role::request) {
-                    break;  // a stray line end before a request is tolerated
-                }
-                stage_ = start_line(text) ? Stage::headers : Stage::bad;
-                break;
-            case Stage::headers:
-                if (!line(text)) {
-                    return state();
-                }
-                if (text.empty()) {
-                    headers_done();
-                } else if (!header_line(text)) {
-                    stage_ = Stage::bad;
-                }
-                break;
-            case Stage::body:
-            case Stage::chunk: {
-                std::size_t n = std::min(left_, buffer_.size());
-                message_.body.append(buffer_, 0, n);
-                buffer_.erase(0, n);
-                left_ -= n;
-                if (left_ > 0) {
-                    return state();
-                }
-                stage_ = stage_ == Stage::body ? Stage::complete : Stage::chunk_end;
-                break;
-            }
-            case Stage::chunk_end:
-                if (!line(text)) {
-                    return state();
-                }
-                head_bytes_ = 0;
-                stage_ = text.empty() ? Stage::chunk_size : Stage::bad;
-                break;
-            case Stage::chunk_size: {
-                if (!line(text)) {
-                    return state();
-                }
-                std::string digits = trim(text.substr(0, text.find(';')));
-                bool ok = !digits.empty() && digits.size() <= constants::chunk_digits_max &&
-                          std::all_of(digits.begin(), digits.end(),
-                                      [](unsigned char c) { return std::isxdigit(c) != 0; });
-                if (!ok) {
-                    stage_ = Stage::bad;
-                    break;
-                }
-                left_ = std::stoul(digits, nullptr, 16);
-                if (message_.body.size() + left_ > body_max_) {
-                    stage_ = Stage::too_large;
-                } else {
-                    stage_ = left_ == 0 ? Stage::trailers : Stage::chunk;
-                }
-                break;
+    while (advance_stage()) {
+    }
+    return state();
+}
+
+// Processes what the current stage can use of the buffer. False if it needs more bytes, or if the
+// message has come to its end.
+bool HttpParser::advance_stage() {
+    switch (stage_) {
+        case Stage::start:
+        case Stage::headers:
+        case Stage::chunk_end:
+        case Stage::chunk_size:
+        case Stage::trailers: {
+            std::string line;
+            if (!next_line(line)) {
+                return false;
             }
-            case Stage::trailers:
-                if (!line(text)) {
-                    return state();
-                }
-                if (text.empty()) {
-                    stage_ = Stage::complete;
-                }
-                break;
-            case Stage::until_close:
-                message_.body += buffer_;
-                buffer_.clear();
-                if (message_.body.size() > body_max_) {
-                    stage_ = Stage::too_large;
-                }
-                message_.keep_alive = false;
-                return state();
-            case Stage::complete:
-                // Guards against a sender that goes on while its request is being answered: what
-                // waits here is never more than one more request may be.
-                if (buffer_.size() > constants::head_max + body_max_) {
-                    stage_ = Stage::too_large;
-                    break;
-                }
-                return state();
-            case Stage::bad:
-            case Stage::too_large:
-                buffer_.clear();  // nothing of it will be read
-                return state();
+            parse_line(line);
+            return true;
         }
+        case Stage::body:
+        case Stage::chunk:
+            return take_body();
+        case Stage::until_close:
+            take_until_close();
+            return false;
+        case Stage::complete:
+            // Guards against a sender that goes on while its request is being answered: what waits
+            // here is never more than one more request may be.
+            if (buffer_.size() > constants::head_max + body_max_) {
+                stage_ = Stage::too_large;
+                return true;
+            }
+            return false;
+        case Stage::bad:
+        case Stage::too_large:
+            buffer_.clear();  // nothing of it will be read
+            return false;
+    }
+    return false;
+}
+
+// A whole line, in one of the stages that consist of lines.
+void HttpParser::parse_line(const std::string& line) {
+    switch (stage_) {
+        case Stage::start:
+            // A stray line end before a request is tolerated.
+            if (!line.empty() || role_ == Role::response) {
+                stage_ = parse_start_line(line) ? Stage::headers : Stage::bad;
+            }
+            break;
+        case Stage::headers:
+            if (line.empty()) {
+                finish_headers();
+            } else if (!parse_header_line(line)) {
+                stage_ = Stage::bad;
+            }
+            break;
+        case Stage::chunk_end:
+            head_bytes_ = 0;
+            stage_ = line.empty() ? Stage::chunk_size : Stage::bad;
+            break;
+        case Stage::chunk_size:
+            parse_chunk_size(line);
+            break;
+        case Stage::trailers:
+            if (line.empty()) {
+                stage_ = Stage::complete;
+            }
+            break;
+        default:
+            break;
+    }
+}
+
+// The size in hexadecimal digits, and extensions behind a semicolon, which are ignored.
+void HttpParser::parse_chunk_size(const std::string& line) {
+    std::string digits = trim(line.substr(0, line.find(';')));
+    bool is_valid = !digits.empty() && digits.size() <= constants::chunk_digits_max &&
+                    std::all_of(digits.begin(), digits.end(),
+                                [](unsigned char c) { return std::isxdigit(c) != 0; });
+    if (!is_valid) {
+        stage_ = Stage::bad;
+        return;
+    }
+    remaining_ = std::stoul(digits, nullptr, 16);
+    if (message_.body.size() + remaining_ > body_max_) {
+        stage_ = Stage::too_large;
+    } else {
+        stage_ = remaining_ == 0 ? Stage::trailers : Stage::chunk;
+    }
+}
+
+// Moves bytes of known number to the body. False if some of them are still to come.
+bool HttpParser::take_body() {
+    std::size_t size = std::min(remaining_, buffer_.size());
+    message_.body.append(buffer_, 0, size);
+    buffer_.erase(0, size);
+    remaining_ -= size;
+    if (remaining_ > 0) {
+        return false;
+    }
+    stage_ = stage_ == Stage::body ? Stage::complete : Stage::chunk_end;
+    return true;
+}
+
+// Moves all bytes to a body that ends with the connection.
+void HttpParser::take_until_close() {
+    message_.body += buffer_;
+    buffer_.clear();
+    if (message_.body.size() > body_max_) {
+        stage_ = Stage::too_large;
     }
+    message_.keep_alive = false;
 }
 
 std::string http_request(const std::string& method, const std::string& target,
@@ -357,7 +391,7 @@
 }
 
 std::string http_response(int status, const std::string& body, bool keep_alive, int retry_after_s) {
-    std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\n";
+    std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n";
     if (!body.empty()) {
         out += "Content-Type: application/cbor\r\n";
     }
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -11,98 +11,154 @@
 #include <vector>
 
 #include "core/model/constants.hpp"
+#include "io/http_status.hpp"
 
 namespace cranemoor::io {
 
 namespace constants = core::constants;
 
-std::uint64_t HttpServer::next_request_ = 0;
+namespace {
+
+constexpr std::size_t read_bytes = 16384;  // at most, with one call
+constexpr const char* continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+
+std::uint64_t last_request = 0;  // the ids are unique within the process
+
+}  // namespace
 
 HttpServer::HttpServer(Loop& loop, const std::string& address, std::size_t connections_max,
                        Handler handler)
     : loop_(loop),
       connections_max_(connections_max),
       handler_(std::move(handler)),
-      sweeper_(loop, [this] { sweep(); }) {
+      timeout_timer_(loop, [this] { close_timed_out(); }) {
     int fd = listen_on(address);
     if (fd < 0) {
         throw std::runtime_error("cannot listen on " + address);
     }
-    listener_ = std::make_unique<Descriptor>(loop_, fd, [this](int) { accept(); });
+    listener_ = std::make_unique<Descriptor>(loop_, fd, [this](int) { accept_batch(); });
     listener_->watch(EV_READ);
-    sweeper_.start(constants::connection_sweep_s, constants::connection_sweep_s);
+    timeout_timer_.start(constants::connection_sweep_s, constants::connection_sweep_s);
 }
 
 HttpServer::~HttpServer() = default;
 
-void HttpServer::accept() {
+// --- connections
+
+void HttpServer::accept_batch() {
     for (int i = 0; i < constants::accept_batch; ++i) {
         int fd = ::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             return;
         }
-        if (connections_.size() >= connections_max_ && !make_room()) {
+        if (connections_.size() >= connections_max_ && !shed_one()) {
             ::close(fd);
             continue;
         }
-        int on = 1;
-        ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        std::uint64_t id = ++next_connection_;
-        auto c = std::make_unique<Connection>();
-        c->descriptor =
-            std::make_unique<Descriptor>(loop_, fd, [this, id](int events) { ready(id, events); });
-        c->descriptor->watch(EV_READ);
-        c->active = loop_.now().steady;
-        await(id, *c);
-        connections_[id] = std::move(c);
+        accept(fd);
     }
 }
 
-void HttpServer::await(std::uint64_t id, Connection& c) {
-    partial_.erase({c.since, id});
-    c.partial = true;
-    c.since = loop_.now().steady;
-    partial_.insert({c.since, id});
+void HttpServer::accept(int fd) {
+    int on = 1;
+    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    std::uint64_t id = ++next_connection_;
+    auto connection = std::make_unique<Connection>();
+    connection->descriptor = std::make_unique<Descriptor>(
+        loop_, fd, [this, id](int events) { handle_events(id, events); });
+    connection->descriptor->watch(EV_READ);
+    connection->last_active = loop_.now().steady;
+    begin_request(id, *connection);
+    connections_[id] = std::move(connection);
 }
 
-void HttpServer::complete(std::uint64_t id, Connection& c) {
-    partial_.erase({c.since, id});
-    c.partial = false;
+void HttpServer::begin_request(std::uint64_t id, Connection& connection) {
+    incomplete_.erase({connection.request_began, id});
+    connection.awaits_request = true;
+    connection.request_began = loop_.now().steady;
+    incomplete_.insert({connection.request_began, id});
 }
 
-void HttpServer::rest(std::uint64_t id, Connection& c) {
-    c.idle = true;
-    c.active = loop_.now().steady;
-    idle_.insert({c.rank, c.active, id});
+void HttpServer::complete_request(std::uint64_t id, Connection& connection) {
+    incomplete_.erase({connection.request_began, id});
+    connection.awaits_request = false;
 }
 
-void HttpServer::wake(std::uint64_t id, Connection& c) {
-    if (std::exchange(c.idle, false)) {
-        idle_.erase({c.rank, c.active, id});
+void HttpServer::mark_idle(std::uint64_t id, Connection& connection) {
+    connection.is_idle = true;
+    connection.last_active = loop_.now().steady;
+    idle_.insert({connection.shed_rank, connection.last_active, id});
+}
+
+void HttpServer::mark_active(std::uint64_t id, Connection& connection) {
+    if (std::exchange(connection.is_idle, false)) {
+        idle_.erase({connection.shed_rank, connection.last_active, id});
     }
 }
 
-// Guards against senders of half requests, who could hold every socket until their time is over
-// while health checks find none: the oldest half makes room. Else the idle ones do, in the order of
-// their standing: while two of three controllers stand still, all workers and users come here.
-bool HttpServer::make_room() {
-    double t = loop_.now().steady;
-    if (!partial_.empty() && t - partial_.begin()->first >= constants::half_sent_spare_s) {
-        close(partial_.begin()->second);
+// Closes one connection to make room for a new one. Guards against senders of incomplete requests,
+// who could hold every socket until their timeout while health checks find none: the oldest of
+// these is closed first. Otherwise an idle one is, in the order of the shedding policy: while two
+// of three controllers are out of service, all workers and users connect to this one.
+bool HttpServer::shed_one() {
+    double now = loop_.now().steady;
+    if (!incomplete_.empty() && now - incomplete_.begin()->began >= constants::half_sent_spare_s) {
+        close(incomplete_.begin()->id);
         return true;
     }
-    // The oldest of each rank.
+    // The one idle for longest, of each rank.
     for (auto it = idle_.begin(); it != idle_.end();
-         it = idle_.lower_bound({std::get<0>(*it) + 1, 0, 0})) {
-        if (t - std::get<1>(*it) >= constants::idle_spare_s) {
-            close(std::get<2>(*it));
+         it = idle_.lower_bound({it->shed_rank + 1, 0, 0})) {
+        if (now - it->since >= constants::idle_spare_s) {
+            close(it->id);
             return true;
         }
     }
     return false;
 }
 
-void HttpServer::ready(std::uint64_t id, int events) {
+void HttpServer::close(std::uint64_t id) {
+    auto it = connections_.find(id);
+    if (it == connections_.end()) {
+        return;
+    }
+    Connection& connection = *it->second;
+    mark_active(id, connection);
+    if (connection.request != 0) {
+        requests_.erase(connection.request);
+    }
+    incomplete_.erase({connection.request_began, id});
+    connections_.erase(it);
+}
+
+void HttpServer::close_timed_out() {
+    double now = loop_.now().steady;
+    std::vector<std::uint64_t> timed_out;
+    for (const auto& [id, connection] : connections_) {
+        if (is_timed_out(*connection, now)) {
+            timed_out.push_back(id);
+        }
+    }
+    for (auto id : timed_out) {
+        close(id);
+    }
+}
+
+bool HttpServer::is_timed_out(const Connection& connection, double now) {
+    if (connection.request != 0 && connection.output.empty()) {
+        return false;  // it waits for our response
+    }
+    // A request has its time from its first byte: one more byte now and then buys none.
+    bool is_incomplete = connection.awaits_request && !connection.parser.idle();
+    bool is_idle = !is_incomplete && connection.output.empty();
+    double timeout_s = is_idle ? constants::idle_timeout_s : constants::request_timeout_s;
+    double since = is_incomplete ? connection.request_began : connection.last_active;
+    return now - since > timeout_s;
+}
+
+// --- requests and responses
+
+void HttpServer::handle_events(std::uint64_t id, int events) {
     auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
@@ -115,62 +171,71 @@
     }
 }
 
-void HttpServer::read(std::uint64_t id, Connection& c) {
-    std::array<char, 16384> chunk{};
-    ssize_t n = ::recv(c.descriptor->fd(), chunk.data(), chunk.size(), 0);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
+void HttpServer::read(std::uint64_t id, Connection& connection) {
+    std::array<char, read_bytes> bytes{};
+    ssize_t size = ::recv(connection.descriptor->fd(), bytes.data(), bytes.size(), 0);
+    if (size < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (n <= 0) {
+    if (size <= 0) {
         close(id);
         return;
     }
-    wake(id, c);
-    c.active = loop_.now().steady;
-    if (c.closing) {
-        return;  // answered for good; what still comes is not read
+    mark_active(id, connection);
+    connection.last_active = loop_.now().steady;
+    if (connection.is_closing) {
+        return;  // has had its last response; what still comes is not read
     }
-    if (c.request == 0 && c.parser.idle()) {
-        await(id, c);
+    if (connection.request == 0 && connection.parser.idle()) {
+        begin_request(id, connection);
     }
-    process(id, c.parser.feed({chunk.data(), static_cast<std::size_t>(n)}));
+    process(id, connection.parser.feed({bytes.data(), static_cast<std::size_t>(size)}));
 }
 
 void HttpServer::process(std::uint64_t id, HttpParser::State state) {
-    Connection& c = *connections_.at(id);
-    if (c.request != 0) {
-        return;  // the next request waits for this one's answer
+    Connection& connection = *connections_.at(id);
+    if (connection.request != 0) {
+        return;  // the next request waits for this one's response
     }
     switch (state) {
         case HttpParser::State::more:
-            if (c.parser.wants_continue()) {
-                c.out += "HTTP/1.1 100 Continue\r\n\r\n";
-                write(id, c);
+            if (connection.parser.wants_continue()) {
+                connection.output += continue_response;
+                write(id, connection);
             }
             break;
         case HttpParser::State::bad:
+            reject(id, connection, http_status::bad_request);
+            break;
         case HttpParser::State::too_large:
-            c.out += http_response(state == HttpParser::State::bad ? 400 : 413, "", false);
-            c.closing = true;
-            write(id, c);
+            reject(id, connection, http_status::payload_too_large);
             break;
-        case HttpParser::State::complete: {
-            HttpMessage message = c.parser.take();
-            complete(id, c);
-            c.keep_alive = message.keep_alive;
-            c.request = ++next_request_;
-            requests_[c.request] = id;
-            handler_(c.request, std::move(message));
+        case HttpParser::State::complete:
+            dispatch(id, connection);
             break;
-        }
     }
 }
 
+void HttpServer::dispatch(std::uint64_t id, Connection& connection) {
+    HttpMessage message = connection.parser.take();
+    complete_request(id, connection);
+    connection.keep_alive = message.keep_alive;
+    connection.request = ++last_request;
+    requests_[connection.request] = id;
+    handler_(connection.request, std::move(message));
+}
+
+void HttpServer::reject(std::uint64_t id, Connection& connection, int status) {
+    connection.output += http_response(status, "", false);
+    connection.is_closing = true;
+    write(id, connection);
+}
+
 void HttpServer::reply(std::uint64_t request, int status, const std::string& body,
                        int retry_after_s, bool close, sockets::ClientKind client) {
     auto it = requests_.find(request);
     if (it == requests_.end()) {
-        return;  // the asker has gone
+        return;  // the client has gone
     }
     std::uint64_t id = it->second;
     requests_.erase(it);
@@ -178,78 +243,48 @@
     if (found == connections_.end()) {
         return;
     }
-    Connection& c = *found->second;
+    Connection& connection = *found->second;
     auto policy = sockets::shed_policy(client);
-    c.rank = policy.rank;
-    bool keep =
-        c.keep_alive && !close && sockets::keep_open(policy, connections_.size(), connections_max_);
-    c.out += http_response(status, body, keep, retry_after_s);
-    c.request = 0;
-    c.closing = !keep;
-    if (write(id, c) && keep) {
-        if (c.parser.idle()) {
-            rest(id, c);
-        } else {
-            await(id, c);
-        }
-        process(id, c.parser.feed({}));
+    connection.shed_rank = policy.rank;
+    bool keep = connection.keep_alive && !close &&
+                sockets::keep_open(policy, connections_.size(), connections_max_);
+    connection.output += http_response(status, body, keep, retry_after_s);
+    connection.request = 0;
+    connection.is_closing = !keep;
+    if (!write(id, connection) || !keep) {
+        return;
+    }
+    if (connection.parser.idle()) {
+        mark_idle(id, connection);
+    } else {
+        begin_request(id, connection);
     }
+    process(id, connection.parser.feed({}));
 }
 
-bool HttpServer::write(std::uint64_t id, Connection& c) {
-    while (!c.out.empty()) {
-        ssize_t n = ::send(c.descriptor->fd(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
-        if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
+bool HttpServer::write(std::uint64_t id, Connection& connection) {
+    std::string& output = connection.output;
+    while (!output.empty()) {
+        ssize_t size =
+            ::send(connection.descriptor->fd(), output.data(), output.size(), MSG_NOSIGNAL);
+        if (size < 0 && (errno == EAGAIN || errno == EINTR)) {
             break;
         }
-        if (n <= 0) {
+        if (size <= 0) {
             close(id);
             return false;
         }
-        c.out.erase(0, static_cast<std::size_t>(n));
-        if (!c.idle) {
-            c.active = loop_.now().steady;
+        output.erase(0, static_cast<std::size_t>(size));
+        if (!connection.is_idle) {
+            connection.last_active = loop_.now().steady;
         }
     }
-    if (c.out.empty() && c.closing) {
+    if (output.empty() && connection.is_closing) {
         close(id);
         return false;
     }
-    c.descriptor->watch(c.out.empty() ? EV_READ : EV_READ | EV_WRITE);
+    connection.descriptor->watch(output.empty() ? EV_READ : EV_READ | EV_WRITE);
     return true;
 }
 
-void HttpServer::close(std::uint64_t id) {
-    auto it = connections_.find(id);
-    if (it == connections_.end()) {
-        return;
-    }
-    wake(id, *it->second);
-    if (it->second->request != 0) {
-        requests_.erase(it->second->request);
-    }
-    partial_.erase({it->second->since, id});
-    connections_.erase(it);
-}
-
-void HttpServer::sweep() {
-    double t = loop_.now().steady;
-    std::vector<std::uint64_t> stale;
-    for (const auto& [id, c] : connections_) {
-        if (c->request != 0 && c->out.empty()) {
-            continue;  // it waits for us
-        }
-        // A request has its time from its first byte: one more byte now and then buys none.
-        bool half = c->partial && !c->parser.idle();
-        bool idle = !half && c->out.empty();
-        double limit = idle ? constants::idle_timeout_s : constants::request_timeout_s;
-        if (t - (half ? c->since : c->active) > limit) {
-            stale.push_back(id);
-        }
-    }
-    for (auto id : stale) {
-        close(id);
-    }
-}
-
 }  // namespace cranemoor::io
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -16,7 +16,9 @@
 namespace cranemoor::io {
 
 namespace {
-bool parse(const std::string& address, sockaddr_in& out) {
+
+// Parses "10.0.0.1:8080". False if the address is none.
+bool parse_address(const std::string& address, sockaddr_in& out) {
     auto colon = address.rfind(':');
     if (colon == std::string::npos) {
         return false;
@@ -27,6 +29,20 @@
     out.sin_port = htons(static_cast<std::uint16_t>(port));
     return inet_pton(AF_INET, address.substr(0, colon).c_str(), &out.sin_addr) == 1;
 }
+
+// Opens a non-blocking IPv4 socket; -1 with errno set if it can't.
+int open_socket() {
+    return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+}
+
+// Closes a socket that failed and keeps the error for the caller.
+int close_failed(int fd) {
+    int error = errno;
+    ::close(fd);
+    errno = error;
+    return -1;
+}
+
 }  // namespace
 
 Loop::Loop() : loop_(ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV)) {
@@ -41,16 +57,16 @@
 
 core::Now Loop::now() const {
     using namespace std::chrono;
-    auto seconds = [](auto t) { return duration<double>(t.time_since_epoch()).count(); };
+    auto seconds = [](auto time) { return duration<double>(time.time_since_epoch()).count(); };
     return {seconds(steady_clock::now()), seconds(system_clock::now())};
 }
 
 Timer::Timer(Loop& loop, std::function<void()> fire) : loop_(loop), fire_(std::move(fire)) {
     ev_timer_init(
         &timer_,
-        [](struct ev_loop*, ev_timer* t, int) {
+        [](struct ev_loop*, ev_timer* timer, int) {
             // Called through a copy: what it does may destroy this timer.
-            auto fire = static_cast<Timer*>(t->data)->fire_;
+            auto fire = static_cast<Timer*>(timer->data)->fire_;
             fire();
         },
         0, 0);
@@ -94,45 +110,39 @@
 }
 
 int listen_on(const std::string& address) {
-    sockaddr_in where{};
-    if (!parse(address, where)) {
+    sockaddr_in endpoint{};
+    if (!parse_address(address, endpoint)) {
         errno = EINVAL;
         return -1;
     }
-    int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    int fd = open_socket();
     if (fd < 0) {
         return -1;
     }
     int on = 1;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (::bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof where) != 0 ||
+    if (::bind(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 ||
         ::listen(fd, core::constants::listen_backlog) != 0) {
-        int why = errno;
-        ::close(fd);
-        errno = why;
-        return -1;
+        return close_failed(fd);
     }
     return fd;
 }
 
 int connect_to(const std::string& address) {
-    sockaddr_in where{};
-    if (!parse(address, where)) {
+    sockaddr_in endpoint{};
+    if (!parse_address(address, endpoint)) {
         errno = EINVAL;
         return -1;
     }
-    int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    int fd = open_socket();
     if (fd < 0) {
         return -1;
     }
     int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    if (::connect(fd, reinterpret_cast<sockaddr*>(&where), sizeof where) != 0 &&
+    if (::connect(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 &&
         errno != EINPROGRESS) {
-        int why = errno;
-        ::close(fd);
-        errno = why;
-        return -1;
+        return close_failed(fd);
     }
     return fd;
 }
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -1,5 +1,6 @@
 #include "wire/cloud_messages.hpp"
 
+#include <array>
 #include <utility>
 #include <vector>
 
@@ -15,9 +16,10 @@
 
 constexpr double boot_s_default = 60;  // of a type that gives no boot time
 
-constexpr EnumName<ListedState> listed_states[] = {{"starting", ListedState::starting},
-                                                   {"running", ListedState::running},
-                                                   {"failed", ListedState::failed}};
+constexpr auto listed_states =
+    std::to_array<EnumName<ListedState>>({{"starting", ListedState::starting},
+                                          {"running", ListedState::running},
+                                          {"failed", ListedState::failed}});
 
 HttpRequest list_request(const CloudCall& call) {
     std::string target = "/rentals?most=" + std::to_string(constants::machines_page);
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -1,6 +1,7 @@
 // Checked access to the fields of a decoded map: types, bounds and the names of enumerators.
 #pragma once
 
+#include <array>
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -21,7 +22,7 @@
 
 /// The text of an enumerator; nullptr if the protocol has none for it.
 template <typename Enum, std::size_t count>
-const char* enum_text(const EnumName<Enum> (&names)[count], Enum value) {
+const char* enum_text(const std::array<EnumName<Enum>, count>& names, Enum value) {
     for (const auto& name : names) {
         if (name.value == value) {
             return name.text;
@@ -55,7 +56,7 @@
     std::vector<std::string> texts(const char* key);
     /// The enumerator whose text the field holds.
     template <typename Enum, std::size_t count>
-    Enum choice(const char* key, const EnumName<Enum> (&names)[count]) {
+    Enum choice(const char* key, const std::array<EnumName<Enum>, count>& names) {
         std::string chosen = text(key);
         for (const auto& name : names) {
             if (chosen == name.text) {
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,5 +1,6 @@
 #include "wire/peer_messages.hpp"
 
+#include <array>
 #include <optional>
 #include <utility>
 #include <vector>
@@ -17,9 +18,10 @@
 
 constexpr double wall_s_max = 1e12;  // of a time in seconds since the Unix epoch
 
-constexpr EnumName<read_leases::Grant> lease_grants[] = {{"none", read_leases::Grant::none},
-                                                         {"blank", read_leases::Grant::blank},
-                                                         {"full", read_leases::Grant::full}};
+constexpr auto lease_grants =
+    std::to_array<EnumName<read_leases::Grant>>({{"none", read_leases::Grant::none},
+                                                 {"blank", read_leases::Grant::blank},
+                                                 {"full", read_leases::Grant::full}});
 
 // --- read leases
 
--- a/src/wire/peer_messages.hpp
+++ b/src/wire/peer_messages.hpp
@@ -10,6 +10,9 @@
 
 namespace cranemoor::wire {
 
+/// The path of calls between controllers, with POST.
+inline constexpr const char* peer_path = "/peer";
+
 /// A call from another controller.
 struct PeerMessage {
     std::string from;  ///< the sender's name
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -1,6 +1,8 @@
 #include "wire/user_messages.hpp"
 
 #include <algorithm>
+#include <array>
+#include <string_view>
 
 #include "wire/cbor.hpp"
 #include "wire/fields.hpp"
@@ -11,15 +13,18 @@
 
 namespace {
 
+constexpr std::string_view job_path_prefix = "/work/";
+constexpr std::string_view cancel_suffix = "/cancel";
 constexpr std::size_t uid_bytes_max = 32;
 constexpr std::uint64_t tasks_max = 100000;  // of one job, by the protocol
 
-constexpr EnumName<JobKind> job_kinds[] = {
-    {"array", JobKind::array}, {"gang", JobKind::gang}, {"service", JobKind::service}};
-constexpr EnumName<Priority> priorities[] = {{"normal", Priority::normal},
-                                             {"production", Priority::production},
-                                             {"high", Priority::high},
-                                             {"best_effort", Priority::best_effort}};
+constexpr auto job_kinds = std::to_array<EnumName<JobKind>>(
+    {{"array", JobKind::array}, {"gang", JobKind::gang}, {"service", JobKind::service}});
+constexpr auto priorities =
+    std::to_array<EnumName<Priority>>({{"normal", Priority::normal},
+                                       {"production", Priority::production},
+                                       {"high", Priority::high},
+                                       {"best_effort", Priority::best_effort}});
 
 // Text that is not UTF-8, also in fields that are not read: no record could keep it.
 bool has_invalid_utf8(const Json& map) {
@@ -82,6 +87,23 @@
 
 }  // namespace
 
+bool is_job_path(const std::string& path) {
+    return path.compare(0, job_path_prefix.size(), job_path_prefix) == 0;
+}
+
+JobPath parse_job_path(const std::string& path) {
+    JobPath job;
+    job.uid = path.substr(job_path_prefix.size());
+    std::size_t suffix_size = cancel_suffix.size();
+    job.is_cancellation =
+        job.uid.size() > suffix_size &&
+        job.uid.compare(job.uid.size() - suffix_size, suffix_size, cancel_suffix) == 0;
+    if (job.is_cancellation) {
+        job.uid.resize(job.uid.size() - suffix_size);
+    }
+    return job;
+}
+
 bool is_valid_uid(const std::string& uid) {
     static const std::string prefix = "req-";
     return uid.size() > prefix.size() && uid.size() <= uid_bytes_max &&
--- a/src/wire/user_messages.hpp
+++ b/src/wire/user_messages.hpp
@@ -10,6 +10,23 @@
 
 namespace cranemoor::wire {
 
+/// The path of health checks, with GET.
+inline constexpr const char* health_path = "/healthz";
+/// The path of submissions, with POST.
+inline constexpr const char* submission_path = "/work";
+
+/// What a path below the submissions' asks for: a poll or a cancellation of one job.
+struct JobPath {
+    std::string uid;  ///< as given, not checked
+    bool is_cancellation = false;
+};
+
+/// Whether a path is one of a job: "/work/{id}" or "/work/{id}/cancel".
+bool is_job_path(const std::string& path);
+
+/// Splits the path of a job.
+JobPath parse_job_path(const std::string& path);
+
 /// Why a submission is refused, and for which job.
 struct InvalidSubmission {
     std::optional<std::string> uid;  ///< none if the job's id itself could not be read
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -1,5 +1,6 @@
 #include "wire/worker_messages.hpp"
 
+#include <array>
 #include <optional>
 #include <utility>
 
@@ -13,22 +14,24 @@
 
 constexpr std::size_t task_index_digits_max = 7;  // so that no index overflows
 
-constexpr EnumName<TaskState> task_states[] = {{"pulling", TaskState::fetching},
-                                               {"gathering", TaskState::waiting},
-                                               {"running", TaskState::running},
-                                               {"flushing", TaskState::saving},
-                                               {"ended", TaskState::exited}};
-constexpr EnumName<ExitReason> exit_reasons[] = {{"done", ExitReason::done},
-                                                 {"halted", ExitReason::stopped},
-                                                 {"mates_gone", ExitReason::peers_gone},
-                                                 {"incomplete", ExitReason::incomplete},
-                                                 {"error", ExitReason::error},
-                                                 {"no_room", ExitReason::no_room},
-                                                 {"busy", ExitReason::busy},
-                                                 {"no_such", ExitReason::unknown_task}};
-constexpr EnumName<Command::Kind> command_kinds[] = {{"run", Command::Kind::start},
-                                                     {"kill", Command::Kind::stop},
-                                                     {"forget", Command::Kind::forget}};
+constexpr auto task_states = std::to_array<EnumName<TaskState>>({{"pulling", TaskState::fetching},
+                                                                 {"gathering", TaskState::waiting},
+                                                                 {"running", TaskState::running},
+                                                                 {"flushing", TaskState::saving},
+                                                                 {"ended", TaskState::exited}});
+constexpr auto exit_reasons =
+    std::to_array<EnumName<ExitReason>>({{"done", ExitReason::done},
+                                         {"halted", ExitReason::stopped},
+                                         {"mates_gone", ExitReason::peers_gone},
+                                         {"incomplete", ExitReason::incomplete},
+                                         {"error", ExitReason::error},
+                                         {"no_room", ExitReason::no_room},
+                                         {"busy", ExitReason::busy},
+                                         {"no_such", ExitReason::unknown_task}});
+constexpr auto command_kinds =
+    std::to_array<EnumName<Command::Kind>>({{"run", Command::Kind::start},
+                                            {"kill", Command::Kind::stop},
+                                            {"forget", Command::Kind::forget}});
 
 // Parses a task's id, a job's id and an index: "req-000412/3".
 std::optional<TaskId> parse_task_id(const std::string& text) {
@@ -83,7 +86,8 @@
 Json encode_task_status(const TaskStatus& task) {
     Json map = {{"hatchling", task.id.text()}, {"launch", task.attempt}};
     map["stance"] = enum_text(task_states, task.state);
-    if (const char* reason = enum_text(exit_reasons, task.why)) {
+    const char* reason = enum_text(exit_reasons, task.why);
+    if (reason != nullptr) {
         map["cause"] = reason;
     }
     if (task.saved) {
@@ -168,10 +172,14 @@
     return encode_cbor(map);
 }
 
-std::string encode_worker_commands(const WorkerCommandCall& call) {
-    return encode_cbor({{"crest", call.token},
-                        {"perch", call.agent_epoch},
-                        {"calls", encode_commands(call.commands)}});
+HttpRequest worker_request(const WorkerCommandCall& call) {
+    if (call.agent_epoch == 0) {
+        return {"GET", "/status", ""};
+    }
+    return {"POST", "/orders",
+            encode_cbor({{"crest", call.token},
+                         {"perch", call.agent_epoch},
+                         {"calls", encode_commands(call.commands)}})};
 }
 
 Decoded<std::vector<Command>> decode_commands(const Json& list) {
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -1,5 +1,5 @@
-// Messages between workers and controllers (protocol, "Workers -> controller nodes" and
-// "Controller nodes -> workers").
+// Messages between workers and controllers (protocol, "Workers -> controller nodes" and "Controller
+// nodes -> workers").
 #pragma once
 
 #include <string>
@@ -9,11 +9,15 @@
 #include "core/model/types.hpp"
 #include "wire/cbor.hpp"
 #include "wire/decode_error.hpp"
+#include "wire/http_request.hpp"
 
 namespace cranemoor::wire {
 
-/// Decodes a worker's heartbeat ("POST /hello", and the answers to "POST /orders" and
-/// "GET /status"). An exit reason that the protocol does not name becomes `ExitReason::other`.
+/// The path of heartbeats, with POST.
+inline constexpr const char* heartbeat_path = "/hello";
+
+/// Decodes a worker's heartbeat ("POST /hello", and the answers to "POST /orders" and "GET
+/// /status"). An exit reason that the protocol does not name becomes `ExitReason::other`.
 Decoded<core::Heartbeat> decode_heartbeat(const Json& map);
 
 /// Decodes a message body that is a heartbeat.
@@ -25,8 +29,9 @@
 /// Encodes the answer to a heartbeat: commands, or the name of the machine's own controller.
 std::string encode_worker_reply(const core::WorkerReply& reply);
 
-/// Encodes the body of a call to a worker ("POST /orders").
-std::string encode_worker_commands(const core::WorkerCommandCall& call);
+/// The HTTP request that carries out a call to a worker: "GET /status" if its agent epoch is 0,
+/// otherwise "POST /orders".
+HttpRequest worker_request(const core::WorkerCommandCall& call);
 
 /// Decodes a list of commands to tasks.
 Decoded<std::vector<core::Command>> decode_commands(const Json& list);
