--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -72,7 +72,7 @@
 struct AdmissionTest : ClusterTest {};
 
 TEST_F(AdmissionTest, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
-    begin();
+    start_cluster();
     auto submit = [&](int number, const std::string& job_class) {
         auto spec = cluster.make_job(number, JobKind::array, 1);
         spec.job_class = job_class;
--- a/tests/answer_history.cpp
+++ b/tests/answer_history.cpp
@@ -4,52 +4,56 @@
 
 namespace cranemoor::test {
 
-void AnswerHistory::asked(std::uint64_t request, const std::string& uid, double at) {
-    asked_[request] = {uid, ++order_, at};
+void AnswerHistory::record_request(std::uint64_t request, const std::string& uid, double time_s) {
+    requests_[request] = {uid, ++last_order_, time_s};
 }
 
-std::string AnswerHistory::answered(const core::UserReply& reply, double at) {
-    const Asked asked = asked_[reply.request];
-    Told& told = told_[asked.uid];
-    auto against = [&](const char* rule, const char* what, const Answer& earlier) {
+std::string AnswerHistory::check_reply(const core::UserReply& reply, double time_s) {
+    const Request request = requests_[reply.request];
+    FirstReplies& first_replies = first_replies_[request.uid];
+    auto violation_text = [&](const char* rule, const char* state, const Reply& earlier) {
         return fmt::format(
-            "{}: {}: request {}, asked at {:.3f} and answered at {:.3f} with {} {}, "
-            "after request {} was told {} at {:.3f}",
-            rule, asked.uid, reply.request, asked.at, at, reply.status, reply.state,
-            earlier.request, what, earlier.at);
+            "{}: {}: request {}, sent at {:.3f} and answered at {:.3f} with {} {}, "
+            "after request {} had been answered {} at {:.3f}",
+            rule, request.uid, reply.request, request.time_s, time_s, reply.status, reply.state,
+            earlier.request, state, earlier.time_s);
+    };
+    // Received before this request was sent; replies to concurrent requests may come in any order.
+    auto precedes_request = [&](const Reply& earlier) {
+        return earlier.order != 0 && earlier.order < request.order;
     };
-    // Told before this was asked for; of two answers under way at once either may be the older.
-    auto before = [&](const Answer& a) { return a.order != 0 && a.order < asked.order; };
     bool cancelled = reply.state == "cancelled";
     bool done = reply.state == "done";
     bool known = reply.status == 200 || reply.status == 201;
     bool refused = reply.status == 404 || reply.status == 400 || reply.status == 422;
-    std::string broken;
+    std::string violation;
     bool not_ended = known && !cancelled && !done;
-    // A job ends in one way only, and an ended one stays so.
-    if ((done && told.cancelled.order != 0) || (not_ended && before(told.cancelled))) {
-        broken = against("went_back", "cancelled", told.cancelled);
-    } else if ((cancelled && told.done.order != 0) || (not_ended && before(told.done))) {
-        broken = against("went_back", "done", told.done);
-    } else if (refused && before(told.accepted)) {
-        broken = against("forgotten", "accepted", told.accepted);
+    // A job is either done or cancelled, never both, and its final state never changes.
+    if ((done && first_replies.cancelled.order != 0) ||
+        (not_ended && precedes_request(first_replies.cancelled))) {
+        violation = violation_text("went_back", "cancelled", first_replies.cancelled);
+    } else if ((cancelled && first_replies.done.order != 0) ||
+               (not_ended && precedes_request(first_replies.done))) {
+        violation = violation_text("went_back", "done", first_replies.done);
+    } else if (refused && precedes_request(first_replies.accepted)) {
+        violation = violation_text("forgotten", "accepted", first_replies.accepted);
     }
-    ++order_;
-    auto note = [&](Answer& first) {
-        if (first.order == 0 && broken.empty()) {
-            first = {order_, reply.request, at};
+    ++last_order_;
+    auto record_first = [&](Reply& first) {
+        if (first.order == 0 && violation.empty()) {
+            first = {last_order_, reply.request, time_s};
         }
     };
     if (known) {
-        note(told.accepted);
+        record_first(first_replies.accepted);
     }
     if (cancelled) {
-        note(told.cancelled);
+        record_first(first_replies.cancelled);
     }
     if (done) {
-        note(told.done);
+        record_first(first_replies.done);
     }
-    return broken;
+    return violation;
 }
 
 }  // namespace cranemoor::test
--- a/tests/answer_history.hpp
+++ b/tests/answer_history.hpp
@@ -1,6 +1,5 @@
-// Every answer to every user, in the order in which they were asked for and given. It tells when
-// one is older than what had been told before it was asked for, at whatever node: answers are to be
-// linearizable.
+/// Checks that replies to users are linearizable: no reply may report an older state than a
+/// reply that any user had received from any node before the request was sent.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +10,35 @@
 
 namespace cranemoor::test {
 
+/// History of all requests and replies, in the order in which they were sent and received.
 class AnswerHistory {
   public:
-    void asked(std::uint64_t request, const std::string& uid, double at);
-    // Takes an answer in; returns which rule it breaks and against which earlier answer, or "".
-    std::string answered(const core::UserReply& reply, double at);
+    /// Records that a request about a job was sent.
+    void record_request(std::uint64_t request, const std::string& uid, double time_s);
+    /// Records a reply; returns the rule that it violates and the earlier reply that it
+    /// contradicts, or an empty string.
+    std::string check_reply(const core::UserReply& reply, double time_s);
 
   private:
-    struct Answer {
+    struct Reply {
         std::uint64_t order = 0;  // 0: none so far
         std::uint64_t request = 0;
-        double at = 0;
+        double time_s = 0;
     };
-    // The first answers that said so.
-    struct Told {
-        Answer accepted;
-        Answer cancelled;
-        Answer done;
+    // The first reply that reported each state of a job.
+    struct FirstReplies {
+        Reply accepted;
+        Reply cancelled;
+        Reply done;
     };
-    struct Asked {
+    struct Request {
         std::string uid;
         std::uint64_t order = 0;
-        double at = 0;
+        double time_s = 0;
     };
-    std::map<std::uint64_t, Asked> asked_;
-    std::map<std::string, Told> told_;
-    std::uint64_t order_ = 0;
+    std::map<std::uint64_t, Request> requests_;          // by request id
+    std::map<std::string, FirstReplies> first_replies_;  // by uid
+    std::uint64_t last_order_ = 0;
 };
 
 }  // namespace cranemoor::test
--- a/tests/answer_history_test.cpp
+++ b/tests/answer_history_test.cpp
@@ -10,7 +10,7 @@
     std::uint64_t next = 0;
     double now = 0;
     std::uint64_t ask() {
-        history.asked(++next, "req-000001", now += 1);
+        history.record_request(++next, "req-000001", now += 1);
         return next;
     }
     // The rule that the answer breaks.
@@ -19,7 +19,7 @@
         r.request = request;
         r.status = status;
         r.state = state;
-        auto broken = history.answered(r, now += 1);
+        auto broken = history.check_reply(r, now += 1);
         return broken.substr(0, broken.find(':'));
     }
 };
--- a/tests/cancellation_deadline_test.cpp
+++ b/tests/cancellation_deadline_test.cpp
@@ -10,7 +10,7 @@
 
 struct CancellationDeadlineTest : HalfMachineJobTest {
     void cancelled(int n, int node = 1) {
-        ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, uid(n))).state, "cancelled");
+        ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, job_uid(n))).state, "cancelled");
         told = cluster.now();
     }
     double left() const { return told + cluster.settings.cancel_s - cluster.now(); }
@@ -30,11 +30,11 @@
     cluster.faults.store_down = true;
     EXPECT_TRUE(cluster.run_until([&] { return gone(doomed); }, left()));
     cluster.run_for(cluster.settings.cancel_s);
-    EXPECT_EQ(cluster.running_tasks(uid(2)), 2);
+    EXPECT_EQ(cluster.running_tasks(job_uid(2)), 2);
     EXPECT_FALSE(gone("vm-50000b"));
     EXPECT_FALSE(gone("vm-50000c"));
     cluster.faults.store_down = false;
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); },
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); },
                                   60));  // proved by the second release
 }
 
@@ -55,7 +55,7 @@
     int n = 0;
     for (double after_s : {-1.0, 0.2, 5.0, 17.0, 18.0, 22.0}) {
         run_job(++n, JobKind::service, 1, "a");
-        auto machine = cluster.machines_running(uid(n)).front();
+        auto machine = cluster.machines_running(job_uid(n)).front();
         int owner = owner_of(machine);
         ASSERT_GE(owner, 0);
         cluster.machines[machine].is_hung = true;
@@ -70,7 +70,7 @@
         cluster.start(owner);
         EXPECT_TRUE(cluster.run_until([&] { return gone(machine); }, left())) << after_s;
         ASSERT_TRUE(cluster.run_until(
-            [&] { return cluster.is_finished(uid(n)) && cluster.all_members(3); }, 60));
+            [&] { return cluster.is_finished(job_uid(n)) && cluster.all_members(3); }, 60));
     }
 }
 
@@ -83,9 +83,10 @@
         cancelled(n, (n + 1) % 3);
         cluster.run_for(1);
         cluster.start(n % 3);
-        EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(n)) == 0; }, left()));
+        EXPECT_TRUE(
+            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == 0; }, left()));
         ASSERT_TRUE(cluster.run_until(
-            [&] { return cluster.is_finished(uid(n)) && cluster.all_members(3); }, 60));
+            [&] { return cluster.is_finished(job_uid(n)) && cluster.all_members(3); }, 60));
         cluster.run_for(1);
     }
 }
@@ -99,7 +100,7 @@
     cluster.machines[doomed].only_node = 0;
     ASSERT_EQ(cluster.submit_and_wait(1, gang).status, 201);
     ASSERT_TRUE(cluster.run_until(
-        [&] { return cluster.store.find("c/b/" + uid(1) + "/0") != nullptr; }, 10));
+        [&] { return cluster.store.find("c/b/" + job_uid(1) + "/0") != nullptr; }, 10));
     cluster.run_for(0.2);
     cluster.faults.nodes_refused_by_store = {0};
     cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
@@ -110,7 +111,7 @@
         started += c.kind == Command::Kind::start ? 1 : 0;
     };
     cluster.machines[doomed].loses_heartbeats = false;
-    cluster.machines[doomed].target = 0;
+    cluster.machines[doomed].target_node = 0;
     cluster.run_for(10);
     EXPECT_EQ(started, 0);
     cluster.run_for(cluster.settings.cancel_s);
@@ -125,15 +126,15 @@
     }
     cluster.run_for(4);
     cancelled(1);
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 0; },
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 0; },
                                   3));  // killed directly
     cluster.run_for(cluster.settings.lease_s +
                     20);  // its lease is over: the other task has to start anew
     for (auto& [name, m] : cluster.machines) {
         m.loses_heartbeats = false;
     }
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(2)) == 1; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 60));
 }
 
 // Both teams are at their limits, on machines of all zones.
@@ -145,7 +146,7 @@
         for (const char* zone : {"a", "b", "c"}) {
             cluster.add_machine(std::string("vm-50000") + zone, zone);
         }
-        begin(3);
+        start_cluster(3);
         fill(1, "red", 2);
         fill(2, "blue", 4);
     }
@@ -154,7 +155,8 @@
         s.each = {30, 4, 200};
         s.team = team;
         ASSERT_EQ(cluster.submit_and_wait(1, s).status, 201);
-        ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(n)) == tasks; }, 60));
+        ASSERT_TRUE(
+            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == tasks; }, 60));
     }
     void submit_next(int n, const char* team, int tasks) {
         auto s = cluster.make_job(n, JobKind::service, tasks);
@@ -177,7 +179,8 @@
         cluster.start(0);
         EXPECT_TRUE(cluster.run_until(
             [&] {
-                return cluster.running_tasks(uid(3)) == 2 && cluster.running_tasks(uid(4)) == 4;
+                return cluster.running_tasks(job_uid(3)) == 2 &&
+                       cluster.running_tasks(job_uid(4)) == 4;
             },
             120));
     }
@@ -204,7 +207,7 @@
         s.each = {1, 0.1, 1};
         cluster.submit(n % 3, s);
         if (n % 4 == 0) {
-            cluster.cancel((n + 1) % 3, uid(n - n % 8));
+            cluster.cancel((n + 1) % 3, job_uid(n - n % 8));
         }
         if (n == 80 || n == 160) {
             cluster.kill(n / 80 % 3);
@@ -216,7 +219,8 @@
     }
     cluster.run_for(20);
     for (int n = 1; n <= jobs; ++n) {
-        EXPECT_TRUE(!cluster.is_accepted(uid(n)) || cluster.is_finished(uid(n))) << uid(n);
+        EXPECT_TRUE(!cluster.is_accepted(job_uid(n)) || cluster.is_finished(job_uid(n)))
+            << job_uid(n);
     }
 }
 
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -12,7 +12,7 @@
 struct ThreeControllerClaimTest : ThreeControllerTest {};
 
 TEST_F(ClaimTest, TheClaimIsDurableWhenItsStartGoesOut) {
-    begin();
+    start_cluster();
     int starts = 0;
     cluster.workers.on_command = [&](const std::string& machine, const Command& c) {
         if (c.kind == Command::Kind::start) {
@@ -28,7 +28,7 @@
 }
 
 TEST_F(ClaimTest, AClaimWhoseAnswerWasLostIsNeitherLostNorDoubled) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 4));
     cluster.faults.lost_reply_probability = 0.5;
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 4; }, 120));
@@ -47,7 +47,7 @@
         cluster.add_machine(fmt::format("vm-{:06}", 500000 + i), cluster.settings.zones[i % 3U]);
     }
     cluster.cloud.capacity = 0;
-    begin(3);
+    start_cluster(3);
     cluster.run_for(12);
     const int jobs = 90;
     for (int i = 0; i < jobs; ++i) {
@@ -105,7 +105,7 @@
     // by a write of its own, and claims waited behind them.
     cluster.cloud.capacity = 2;
     cluster.workers.task_run_s = 1000;
-    begin();
+    start_cluster();
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
     cluster.run_for(8);
@@ -118,7 +118,7 @@
         for (auto& [name, m] : cluster.machines) {
             auto task = m.tasks.find({"req-000001", t});
             if (task != m.tasks.end()) {
-                task->second.begin()->second.ends_at = cluster.now();
+                task->second.begin()->second.ends_at_s = cluster.now();
             }
         }
         cluster.run_for(0.8);
@@ -135,7 +135,7 @@
 
 TEST_F(ClaimTest, AClaimOnAMachineNobodyKnowsIsTakenBack) {
     // Guards against a claim that lands after its machine was released and forgotten.
-    begin();
+    start_cluster();
     cluster.add_machine("vm-500000", "a");
     cluster.cloud.capacity = 0;
     cluster.run_for(6);
@@ -159,7 +159,7 @@
 
 TEST_F(ClaimTest, OneClaimOverMachinesOfTwoZonesKeepsAJobTogether) {
     // A lone member owns the machines of all zones, and claims on several at once.
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "b");
--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -1,4 +1,4 @@
-// Test fixtures with a simulated cluster.
+/// Test fixtures with a simulated cluster.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,13 +10,12 @@
 
 namespace cranemoor::test {
 
-/// A cluster of one controller, unless more are named. Fails if a rule of the protocol was
-/// violated.
+/// A cluster of one controller by default. Each test fails if an invariant was violated.
 struct ClusterTest : ::testing::Test {
     explicit ClusterTest(int nodes = 1) : cluster(nodes) {}
     SimulatedCluster cluster;
-    /// Starts all nodes and waits until each is a member of the epoch.
-    void begin(std::size_t nodes = 1) {
+    /// Starts all nodes and waits until all are members of an epoch of `nodes` members.
+    void start_cluster(std::size_t nodes = 1) {
         cluster.start_all();
         ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(nodes); }, 10));
         cluster.run_for(1);
@@ -31,7 +30,7 @@
     ThreeControllerTest() : ClusterTest(3) {}
 };
 
-/// Three controllers and a machine in each of their zones, each owned by one of them.
+/// Three controllers and one machine in each of their zones, each owned by one controller.
 struct ThreeZoneTest : ThreeControllerTest {
     void SetUp() override {
         cluster.workers.task_run_s = 1000;
@@ -39,49 +38,50 @@
         for (const char* zone : {"a", "b", "c"}) {
             cluster.add_machine(std::string("vm-50000") + zone, zone);
         }
-        begin(3);
+        start_cluster(3);
     }
 };
 
-/// Jobs of which each task takes half of a machine, and who owns which machine.
+/// Jobs whose tasks take half of a machine each, and queries for attempts and owners.
 struct HalfMachineJobTest : ThreeZoneTest {
     /// The uid of make_job(n).
-    static std::string uid(int n) { return fmt::format("req-{:06}", n); }
-    /// Submits a job whose tasks fill half a machine each, and waits until it runs.
+    static std::string job_uid(int n) { return fmt::format("req-{:06}", n); }
+    /// Submits a job whose tasks take half of a machine each, and waits until all of them run.
     void run_job(int n, JobKind kind, int tasks, const char* zone = nullptr) {
-        auto s = cluster.make_job(n, kind, tasks);
-        s.each = {30, 4, 200};
+        auto spec = cluster.make_job(n, kind, tasks);
+        spec.each = {30, 4, 200};
         if (zone != nullptr) {
-            s.zone = zone;
+            spec.zone = zone;
         }
-        ASSERT_EQ(cluster.submit_and_wait(1, s).status, 201);
-        ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(n)) == tasks; }, 40));
+        ASSERT_EQ(cluster.submit_and_wait(1, spec).status, 201);
+        ASSERT_TRUE(
+            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == tasks; }, 40));
     }
-    /// Attempts of a job's tasks that are on any machine.
-    int attempts(int n) {
-        int found = 0;
-        for (const auto& [name, m] : cluster.machines) {
-            for (const auto& [id, list] : m.tasks) {
-                found += id.uid == uid(n) ? static_cast<int>(list.size()) : 0;
+    /// Number of attempts of a job's tasks over all machines, exited ones included.
+    int attempts_on_machines(int n) {
+        int count = 0;
+        for (const auto& [name, worker] : cluster.machines) {
+            for (const auto& [id, attempts] : worker.tasks) {
+                count += id.uid == job_uid(n) ? static_cast<int>(attempts.size()) : 0;
             }
         }
-        return found;
+        return count;
     }
-    /// The node whose controller owns a machine; -1 if none does.
+    /// The node whose controller has adopted a machine; -1 if there is none.
     int owner_of(const std::string& machine) {
-        for (int i = 0; i < 3; ++i) {
-            if (cluster.is_alive(i) &&
-                cluster.controller(i).agent_manager().registry().adopted(machine)) {
-                return i;
+        for (int node = 0; node < 3; ++node) {
+            if (cluster.is_alive(node) &&
+                cluster.controller(node).agent_manager().registry().adopted(machine)) {
+                return node;
             }
         }
         return -1;
     }
 };
 
-/// A heartbeat of a machine without tasks, in its first session.
-inline Heartbeat bare_heartbeat(const std::string& name, const std::string& zone, Token token,
-                                std::uint64_t seq) {
+/// A heartbeat of a machine without tasks, in its first agent epoch.
+inline Heartbeat heartbeat_without_tasks(const std::string& name, const std::string& zone,
+                                         Token token, std::uint64_t seq) {
     return {name, name, "t8", zone, false, 1, seq, token, std::nullopt, {}};
 }
 
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -30,7 +30,7 @@
     std::vector<Answer> answers;
     std::vector<std::string> asked;
     std::vector<std::string> bodies;
-    std::string address = local(free_port());
+    std::string address = loopback_address(free_port());
     io::Loop loop;
     io::HttpServer server{loop, address, 8, [this](std::uint64_t r, HttpMessage&& m) {
                               asked.push_back(m.method + " " + m.target);
--- a/tests/delay_scheduling_test.cpp
+++ b/tests/delay_scheduling_test.cpp
@@ -7,7 +7,7 @@
 struct DelaySchedulingTest : ClusterTest {};
 
 TEST_F(DelaySchedulingTest, AJobWaitsForAMachineWithItsImageThenRunsAnywhere) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 100;
     auto busy = cluster.make_job(1, JobKind::array, 8);  // fills the machine that has the image
@@ -36,7 +36,7 @@
 TEST_F(DelaySchedulingTest, AnImageThatIsSoonFetchedIsNotWorthTheWholeWait) {
     // Found in a day's log: gangs let free machines pass for 3 s to save a fetch of 5 s that they
     // hardly ever saved.
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 100;
     auto busy = cluster.make_job(1, JobKind::array, 8);
@@ -56,7 +56,7 @@
 TEST_F(DelaySchedulingTest, AGangDoesNotWaitForFewerMachinesWithItsImageThanItHasTasks) {
     // Found in a grown day's log: gangs let free machines pass for W although only some of the
     // machines they needed had their image.
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     auto first = cluster.make_job(1, JobKind::gang);
@@ -76,7 +76,7 @@
 
 TEST_F(DelaySchedulingTest, AJobDoesNotWaitForAMachineFullOfServices) {
     // Found in a day's log: replicas let empty machines pass for the sake of full ones.
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 8));
@@ -89,7 +89,7 @@
 }
 
 TEST_F(DelaySchedulingTest, ALocalTaskIsLaunchedWithoutWaiting) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
--- a/tests/delayed_claim_test.cpp
+++ b/tests/delayed_claim_test.cpp
@@ -18,7 +18,7 @@
         cluster.add_machine(fmt::format("vm-50000{}", i), "a");
     }
     cluster.cloud.capacity = 0;
-    begin();
+    start_cluster();
     cluster.store.put_admission_table(true);
     cluster.run_for(1);
     int held = 0;
@@ -57,7 +57,7 @@
         cluster.add_machine(fmt::format("vm-50000{}", i), "a");
         cluster.run_for(0.3);  // they report one after the other, and get what is open then
     }
-    begin();
+    start_cluster();
     cluster.store.put_admission_table(true);
     cluster.run_for(1);
     auto submit = [&](int n, int tasks, Resources each) {
--- a/tests/dependent_job_fixture.hpp
+++ b/tests/dependent_job_fixture.hpp
@@ -1,4 +1,4 @@
-// Test fixture for jobs that depend on others.
+/// Test fixture for jobs that depend on others.
 #pragma once
 
 #include <string>
@@ -9,23 +9,23 @@
 namespace cranemoor::test {
 
 /// The uid of make_job(n).
-inline std::string uid(int n) {
+inline std::string job_uid(int n) {
     return fmt::format("req-{:06}", n);
 }
 
-/// Three controllers and jobs that start after others.
+/// Three controllers and jobs that start once the jobs that they depend on are done.
 struct DependentJobTest : ThreeControllerTest {
-    /// A job that starts when others, by their numbers, are done.
-    JobSpec after(int number, const std::vector<int>& others, JobKind kind = JobKind::array,
-                  int tasks = 1) {
+    /// A job that starts once all of `dependencies`, given by their numbers, are done.
+    JobSpec dependent_job(int number, const std::vector<int>& dependencies,
+                          JobKind kind = JobKind::array, int tasks = 1) {
         auto spec = cluster.make_job(number, kind, tasks);
-        for (int o : others) {
-            spec.follows.push_back(uid(o));
+        for (int dependency : dependencies) {
+            spec.follows.push_back(job_uid(dependency));
         }
         return spec;
     }
-    /// Whether the records say that a job is over.
-    bool over(int n) { return cluster.is_finished(uid(n)); }
+    /// Whether the key-value store holds a final state of a job.
+    bool is_job_finished(int n) { return cluster.is_finished(job_uid(n)); }
 };
 
 }  // namespace cranemoor::test
--- a/tests/fake_cloud.cpp
+++ b/tests/fake_cloud.cpp
@@ -24,7 +24,7 @@
             release(call.machines);
             break;
         case CloudCall::Kind::launch:
-            return rent(call);
+            return launch(call);
     }
     return reply;
 }
@@ -33,9 +33,9 @@
     std::vector<ListedMachine> listed;
     double now = simulation_.now();
     for (auto& [name, machine] : machines_) {
-        if (!machine.deleted && name > after && now - machine.made_at >= list_lag_s) {
+        if (!machine.deleted && name > after && now - machine.created_at_s >= list_lag_s) {
             machine.info.state =
-                now >= machine.up_at ? ListedState::running : ListedState::starting;
+                now >= machine.booted_at_s ? ListedState::running : ListedState::starting;
             listed.push_back(machine.info);
         }
     }
@@ -52,7 +52,7 @@
     }
 }
 
-CloudReply FakeCloud::rent(const CloudCall& call) {
+CloudReply FakeCloud::launch(const CloudCall& call) {
     CloudReply reply;
     reply.status = CloudReply::Status::ok;
     auto& names = machines_by_request_[call.request];
@@ -62,11 +62,11 @@
             reply.status = CloudReply::Status::no_capacity;
             return reply;
         }
-        ++rentals;
-        rented_machines += count;
+        ++launches;
+        launched_machines += count;
         for (int i = 0; i < count; ++i) {
             std::string name = fmt::format("vm-{:06}", ++last_machine_number_);
-            add_machine(name, call.zone, call.spot).up_at = simulation_.now() + boot_s;
+            add_machine(name, call.zone, call.spot).booted_at_s = simulation_.now() + boot_s;
             names.push_back(name);
         }
     }
@@ -77,9 +77,9 @@
 FakeWorker& FakeCloud::add_machine(const std::string& name, const std::string& zone, bool spot) {
     FakeWorker& machine = machines_[name];
     machine.info = {name, name, "t8", zone, spot, ListedState::starting, 0};
-    machine.made_at = simulation_.now();
-    machine.up_at = simulation_.now();
-    machine.lease_from = simulation_.now();
+    machine.created_at_s = simulation_.now();
+    machine.booted_at_s = simulation_.now();
+    machine.lease_start_s = simulation_.now();
     return machine;
 }
 
--- a/tests/fake_cloud.hpp
+++ b/tests/fake_cloud.hpp
@@ -1,4 +1,4 @@
-// Fake of the cloud provider: rents, lists and releases machines.
+/// Fake of the cloud provider: launches, lists and releases machines.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace cranemoor::test {
 
-/// The cloud. Rentals are idempotent by the name of their request.
+/// The cloud provider. Launches are idempotent by the id of their request.
 class FakeCloud {
   public:
     FakeCloud(const Simulation& simulation, Machines& machines)
@@ -19,28 +19,28 @@
 
     /// Executes a call at once.
     CloudReply execute(const CloudCall& call);
-    /// A machine that is there and up, though nobody rented it.
+    /// Adds a running machine without a launch.
     FakeWorker& add_machine(const std::string& name, const std::string& zone, bool spot = false);
-    /// Machines that are not released.
+    /// Number of machines that are not released.
     int machine_count() const;
-    /// The one type of machine that there is.
+    /// The only machine type on offer.
     static MachineType machine_type();
 
-    /// Machines that may be there at once.
+    /// Maximum number of machines at any time.
     int capacity = 1000;
-    /// Seconds until a rented machine is up.
+    /// Boot time of a launched machine, in s.
     double boot_s = 5;
-    /// Seconds until a new machine is listed.
+    /// Seconds from a machine's creation until it is listed.
     double list_lag_s = 0;
-    /// Seconds until the reply to a rental is sent.
-    double rental_reply_delay_s = 0;
-    /// Rentals that brought machines.
-    int rentals = 0;
-    /// Machines that were rented.
-    int rented_machines = 0;
+    /// Seconds from the execution of a launch until its reply is sent.
+    double launch_reply_delay_s = 0;
+    /// Number of launch requests that created machines.
+    int launches = 0;
+    /// Number of machines that were launched.
+    int launched_machines = 0;
 
   private:
-    CloudReply rent(const CloudCall& call);
+    CloudReply launch(const CloudCall& call);
     std::vector<ListedMachine> list(const std::string& after);
     void release(const std::vector<std::string>& names);
 
--- a/tests/fake_key_value_store.cpp
+++ b/tests/fake_key_value_store.cpp
@@ -7,9 +7,9 @@
 namespace cranemoor::test {
 
 namespace {
-// Small pages, so that tests see several.
+// Small, so that lists in tests take several pages.
 constexpr std::size_t list_page_size = 20;
-// Prefix of the controllers' own keys, which are watched.
+// Prefix of the controllers' own keys, the only ones that are watched.
 const std::string watched_prefix = "c/";
 
 bool has_prefix(const std::string& key, const std::string& prefix) {
@@ -32,7 +32,7 @@
     }
 }
 
-double FakeKeyValueStore::new_lease_end() const {
+double FakeKeyValueStore::new_lease_end_s() const {
     return simulation_.now() + constants::member_lease_ms / 1000.0;
 }
 
@@ -40,19 +40,19 @@
     StoreReply reply;
     reply.status = StoreReply::Status::ok;
     reply.lease = ++last_lease_;
-    lease_ends_[reply.lease] = new_lease_end();
+    lease_ends_s_[reply.lease] = new_lease_end_s();
     return reply;
 }
 
 StoreReply FakeKeyValueStore::renew_lease(std::uint64_t lease) {
     StoreReply reply;
-    auto end = lease_ends_.find(lease);
-    if (end == lease_ends_.end()) {
+    auto end = lease_ends_s_.find(lease);
+    if (end == lease_ends_s_.end()) {
         reply.status = StoreReply::Status::not_found;
         return reply;
     }
     reply.status = StoreReply::Status::ok;
-    end->second = new_lease_end();
+    end->second = new_lease_end_s();
     return reply;
 }
 
@@ -120,7 +120,7 @@
         invariants_.violations.push_back("value too large: " + write.key);
         return false;
     }
-    return write.lease == 0 || lease_ends_.contains(write.lease);
+    return write.lease == 0 || lease_ends_s_.contains(write.lease);
 }
 
 std::vector<std::string> FakeKeyValueStore::failed_conditions(const Txn& txn) const {
@@ -144,19 +144,19 @@
         } else {
             records_.erase(write.key);
         }
-        note_change(write.key, write.value);
+        record_change(write.key, write.value);
     }
 }
 
-void FakeKeyValueStore::note_change(const std::string& key, const std::optional<Json>& value) {
+void FakeKeyValueStore::record_change(const std::string& key, const std::optional<Json>& value) {
     changes_.push_back({key, value, revision_});
     writes_by_kind[key.substr(0, key.find('/', 2))]++;
 }
 
 void FakeKeyValueStore::expire_leases(bool store_down) {
-    for (auto it = lease_ends_.begin(); it != lease_ends_.end();) {
+    for (auto it = lease_ends_s_.begin(); it != lease_ends_s_.end();) {
         if (store_down) {
-            it->second = new_lease_end();
+            it->second = new_lease_end_s();
         }
         if (it->second > simulation_.now()) {
             ++it;
@@ -171,18 +171,18 @@
         for (const auto& key : expired) {
             erase(key);
         }
-        it = lease_ends_.erase(it);
+        it = lease_ends_s_.erase(it);
     }
 }
 
 std::vector<Event> FakeKeyValueStore::changes_since(Revision since) const {
-    std::vector<Event> news;
+    std::vector<Event> changes;
     for (const auto& change : changes_) {
         if (change.revision > since && has_prefix(change.key, watched_prefix)) {
-            news.push_back(change);
+            changes.push_back(change);
         }
     }
-    return news;
+    return changes;
 }
 
 const Json* FakeKeyValueStore::find(const std::string& key) const {
@@ -222,13 +222,13 @@
 void FakeKeyValueStore::put(const std::string& key, const Json& value) {
     ++revision_;
     records_[key] = {value, revision_, 0};
-    note_change(key, value);
+    record_change(key, value);
 }
 
 void FakeKeyValueStore::erase(const std::string& key) {
     if (records_.erase(key) != 0) {
         ++revision_;
-        note_change(key, std::nullopt);
+        record_change(key, std::nullopt);
     }
 }
 
--- a/tests/fake_key_value_store.hpp
+++ b/tests/fake_key_value_store.hpp
@@ -1,4 +1,5 @@
-// In-memory fake of the key-value store: transactions, pages of a prefix, leases and history.
+/// In-memory fake of the key-value store: transactions, paged lists of a prefix, leases and change
+/// history.
 #pragma once
 
 #include <cstdint>
@@ -13,51 +14,51 @@
 
 namespace cranemoor::test {
 
-/// The key-value store. It executes each call at once; the network decides when calls and replies
-/// arrive.
+/// The key-value store. It executes each call at once; SimulatedCluster delays calls and replies.
 class FakeKeyValueStore {
   public:
     FakeKeyValueStore(const Simulation& simulation, const Settings& settings,
                       InvariantChecker& invariants)
         : simulation_(simulation), settings_(settings), invariants_(invariants) {}
 
-    /// Executes anything but a watch.
+    /// Executes any call except a watch.
     StoreReply execute(const StoreCall& call);
-    /// Ends leases that ran out, with their keys; while the store is down all are extended.
+    /// Removes expired leases and their keys; while the store is down all leases are extended
+    /// instead.
     void expire_leases(bool store_down);
-    /// Changes of controllers' keys after a revision, oldest first.
+    /// Changes of the controllers' keys after a revision, oldest first.
     std::vector<Event> changes_since(Revision since) const;
 
     /// The value of a key; nullptr if there is none. Valid until the next change.
     const Json* find(const std::string& key) const;
-    /// Keys below a prefix, in order.
+    /// Keys with a prefix, in lexical order.
     std::vector<std::string> keys(const std::string& prefix) const;
-    /// Whether any record of an accepted job names it.
+    /// Whether any record holds the job as accepted.
     bool is_accepted(const std::string& uid) const;
-    /// Whether a final state of the job is recorded.
+    /// Whether any record holds a final state of the job.
     bool is_finished(const std::string& uid) const;
     /// Writes a key without conditions.
     void put(const std::string& key, const Json& value);
-    /// Deletes a key, if it is there.
+    /// Deletes a key if it exists.
     void erase(const std::string& key);
-    /// Writes the admission table as a leading member would: whether records are shared, and the
-    /// weights of the members in the order of the epoch (1 where none is given).
+    /// Writes the admission table as the leader would: whether records are shared, and the members'
+    /// weights in the order of the epoch (1 where none is given).
     void put_admission_table(bool shared, const std::vector<int>& weights = {});
-    /// Forgets the history: watches that lag behind have to read everything again.
+    /// Compacts the history: a watch that starts before this revision must list all keys again.
     void compact() { compacted_revision_ = ++revision_; }
 
     /// The revision of the newest change.
     Revision revision() const { return revision_; }
-    /// Changes up to this revision are not told to watches any more.
+    /// Changes up to this revision are no longer sent to watches.
     Revision compacted_revision() const { return compacted_revision_; }
 
-    /// KB that a value may take; none: as the settings have it.
+    /// Maximum size of a value in KB; if unset, the one in the settings.
     std::optional<double> value_limit_kb;
-    /// Operations that a transaction may have; none: as the settings have it.
+    /// Maximum number of operations per transaction; if unset, the one in the settings.
     std::optional<int> transaction_operation_limit;
-    /// Puts and deletes by kind of record, as in "c/b".
+    /// Number of puts and deletes by kind of record, such as "c/b".
     std::map<std::string, int> writes_by_kind;
-    /// Transactions of which a condition did not hold.
+    /// Transactions that failed since a condition did not hold.
     std::vector<Txn> conflicting_transactions;
 
   private:
@@ -76,8 +77,8 @@
     bool is_well_formed(const Write& write);
     std::vector<std::string> failed_conditions(const Txn& txn) const;
     void apply(const Txn& txn);
-    void note_change(const std::string& key, const std::optional<Json>& value);
-    double new_lease_end() const;
+    void record_change(const std::string& key, const std::optional<Json>& value);
+    double new_lease_end_s() const;
 
     const Simulation& simulation_;
     const Settings& settings_;
@@ -86,7 +87,7 @@
     Revision revision_ = 0;
     Revision compacted_revision_ = 0;
     std::vector<Event> changes_;
-    std::map<std::uint64_t, double> lease_ends_;  // by lease, in s
+    std::map<std::uint64_t, double> lease_ends_s_;  // by lease
     std::uint64_t last_lease_ = 0;
 };
 
--- a/tests/fake_users.cpp
+++ b/tests/fake_users.cpp
@@ -2,10 +2,10 @@
 
 namespace cranemoor::test {
 
-// What users had been told when they asked: only an answer older than that breaks a rule.
+// Recorded when sent: only a reply older than those received by then violates a rule.
 std::uint64_t FakeUsers::new_request(const std::string& uid) {
     std::uint64_t request = simulation_.new_request_id();
-    history_.asked(request, uid, simulation_.now());
+    history_.record_request(request, uid, simulation_.now());
     return request;
 }
 
@@ -54,7 +54,7 @@
 
 void FakeUsers::receive(const UserReply& reply) {
     replies_[reply.request] = reply;
-    std::string violation = history_.answered(reply, simulation_.now());
+    std::string violation = history_.check_reply(reply, simulation_.now());
     if (!violation.empty()) {
         invariants_.violations.push_back(violation);
     }
@@ -62,9 +62,9 @@
         ledger_.cancelled_at.try_emplace(reply.uid, simulation_.now());
     }
     invariants_.check_user_reply(reply);
-    bool verifies_another = verifying_requests_.contains(reply.request);
+    bool is_verifying_request = verifying_requests_.contains(reply.request);
     bool is_submitted = ledger_.specs.contains(reply.uid);
-    if (verify_each_reply && !reply.state.empty() && !verifies_another && is_submitted) {
+    if (verify_each_reply && !reply.state.empty() && !is_verifying_request && is_submitted) {
         verify_reply(reply.uid);
     }
 }
@@ -73,8 +73,8 @@
     constexpr int requests_per_node = 3;  // two polls and a repeated submission
     for (int node = 0; node < nodes_; ++node) {
         for (int i = 0; i < requests_per_node; ++i) {
-            simulation_.after(simulation_.message_delay(), [=, this] {
-                // Before the request is sent, since its reply may come at once.
+            simulation_.schedule_after(simulation_.message_delay(), [=, this] {
+                // Before the request is sent, since the reply may arrive synchronously.
                 verifying_requests_.insert(simulation_.next_request_id());
                 if (i < requests_per_node - 1) {
                     poll(node, uid);
--- a/tests/fake_users.hpp
+++ b/tests/fake_users.hpp
@@ -1,4 +1,4 @@
-// Fake users: submit, poll and cancel jobs at any node, and check every reply.
+/// Fake users: submit, poll and cancel jobs at any node, and check every reply.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace cranemoor::test {
 
-/// The users of a cluster. Each request gets an id, under which its reply is kept.
+/// The users of a cluster. Each request gets an id by which its reply can be found.
 class FakeUsers {
   public:
-    /// Hands a request to the controller of a node, if there is one.
+    /// Passes a request to the controller of a node, if one runs there.
     using SendToNode = std::function<void(int node, const std::function<void(Controller&)>&)>;
 
     FakeUsers(Simulation& simulation, JobLedger& ledger, InvariantChecker& invariants, int nodes,
@@ -29,26 +29,26 @@
           nodes_(nodes),
           send_(std::move(send)) {}
 
-    /// Submits a job; returns the request's id, like those below.
+    /// Submits a job; returns the id of the request, as do the functions below.
     std::uint64_t submit(int node, const JobSpec& spec);
     /// Submits a job that lacks a field.
     std::uint64_t submit_malformed(int node, const std::string& uid);
-    /// Asks for a job's state.
+    /// Requests a job's state.
     std::uint64_t poll(int node, const std::string& uid);
-    /// Asks for a job's cancellation.
+    /// Requests a job's cancellation.
     std::uint64_t cancel(int node, const std::string& uid);
 
-    /// Takes in a reply of a controller, and checks it.
+    /// Records and checks a reply of a controller.
     void receive(const UserReply& reply);
     /// The reply to a request; nullptr if there is none yet.
     const UserReply* find_reply(std::uint64_t request) const;
-    /// Counts a job as submitted that is only in the records.
+    /// Registers a job as submitted that a test wrote straight to the key-value store.
     void add_submitted(const JobSpec& spec) { ledger_.specs.try_emplace(spec.uid, spec); }
-    /// Whether a job that was submitted is a service.
+    /// Whether a job is a service; false if it was not submitted.
     bool is_service(const std::string& uid) const;
 
-    /// After each reply that says accepted, cancelled or done, users poll all nodes within
-    /// milliseconds and submit the job again.
+    /// After each reply that reports a job's state, users poll all nodes within milliseconds and
+    /// submit the job again.
     bool verify_each_reply = false;
 
   private:
@@ -62,7 +62,7 @@
     SendToNode send_;
     AnswerHistory history_;
     std::map<std::uint64_t, UserReply> replies_;
-    std::set<std::uint64_t> verifying_requests_;  // of verify_each_reply, which bring no others
+    std::set<std::uint64_t> verifying_requests_;  // of verify_each_reply; not verified in turn
 };
 
 }  // namespace cranemoor::test
--- a/tests/fake_worker.cpp
+++ b/tests/fake_worker.cpp
@@ -9,8 +9,8 @@
 namespace cranemoor::test {
 
 namespace {
-// Shortest time between two heartbeats of a worker, in s.
-constexpr double heartbeat_pause_s = 0.5;
+// Minimum time between two heartbeats of a worker.
+constexpr double heartbeat_interval_min_s = 0.5;
 
 bool is_live(const FakeTask& task) {
     return task.state != TaskState::exited;
@@ -22,47 +22,47 @@
 }
 }  // namespace
 
-void FakeWorker::send_heartbeat_by(double time) {
-    next_report = std::min(next_report, time);
+void FakeWorker::send_heartbeat_by(double time_s) {
+    next_heartbeat_at_s = std::min(next_heartbeat_at_s, time_s);
 }
 
 bool FakeWorkers::step(FakeWorker& worker) {
     double now = simulation_.now();
-    if (worker.deleted || worker.is_hung || now < worker.up_at) {
+    if (worker.deleted || worker.is_hung || now < worker.booted_at_s) {
         return false;
     }
-    for (const auto& command : std::exchange(worker.held_commands, {})) {
-        command();  // as long as fencing token and session match, however late
+    for (const auto& command : std::exchange(worker.deferred_commands, {})) {
+        command();  // has an effect only if fencing token and agent epoch match, however late
     }
     expire_lease(worker);
     bool has_changed = false;
     for (auto& [id, attempts] : worker.tasks) {
         for (auto& [attempt, task] : attempts) {
-            auto before = task.state;
+            auto old_state = task.state;
             step_task(worker, id, task);
-            has_changed = has_changed || before != task.state;
+            has_changed = has_changed || old_state != task.state;
         }
     }
     if (has_changed) {
-        worker.send_heartbeat_by(std::max(now, worker.sent_at + heartbeat_pause_s));
+        worker.send_heartbeat_by(std::max(now, worker.sent_at_s + heartbeat_interval_min_s));
     }
-    return !worker.in_flight && now >= worker.next_report;
+    return !worker.in_flight && now >= worker.next_heartbeat_at_s;
 }
 
 void FakeWorkers::expire_lease(FakeWorker& worker) const {
     double now = simulation_.now();
-    if (now - worker.lease_from > settings_.lease_s) {
+    if (now - worker.lease_start_s > settings_.lease_s) {
         worker.tasks.clear();
-        worker.session++;
-        worker.lease_from = now;
-        worker.next_report = now;
+        worker.agent_epoch++;
+        worker.lease_start_s = now;
+        worker.next_heartbeat_at_s = now;
     }
 }
 
 void FakeWorkers::step_task(FakeWorker& worker, const TaskId& id, FakeTask& task) {
     double now = simulation_.now();
-    if (task.state == TaskState::fetching && now >= task.ready_at) {
-        begin_task(worker, id, task);
+    if (task.state == TaskState::fetching && now >= task.ready_at_s) {
+        finish_image_fetch(worker, id, task);
     }
     if (task.state == TaskState::waiting) {
         await_gang(id, task);
@@ -70,12 +70,12 @@
     if (task.state == TaskState::saving) {
         save_gang(id, task);
     }
-    if (task.state == TaskState::running && now >= task.ends_at) {
+    if (task.state == TaskState::running && now >= task.ends_at_s) {
         complete_task(id, task);
     }
 }
 
-void FakeWorkers::begin_task(FakeWorker& worker, const TaskId& id, FakeTask& task) {
+void FakeWorkers::finish_image_fetch(FakeWorker& worker, const TaskId& id, FakeTask& task) {
     const JobSpec& spec = ledger_.specs[id.uid];
     worker.images.insert(spec.image);
     if (worker.fails_tasks || failing_jobs.contains(id.uid)) {
@@ -85,11 +85,11 @@
     } else {
         bool needs_others = spec.kind == JobKind::gang && spec.tasks > 1;
         task.state = needs_others ? TaskState::waiting : TaskState::running;
-        task.ends_at = spec.kind == JobKind::service ? never_s : simulation_.now() + task_run_s;
+        task.ends_at_s = spec.kind == JobKind::service ? never_s : simulation_.now() + task_run_s;
     }
 }
 
-// Its tasks run once all of them are present.
+// A gang's tasks run once all of them are present.
 void FakeWorkers::await_gang(const TaskId& id, FakeTask& task) {
     int present = 0;
     for (const auto& [name, other] : machines_) {
@@ -101,29 +101,31 @@
     }
     if (present == ledger_.specs[id.uid].tasks) {
         task.state = TaskState::running;
-        task.ends_at = simulation_.now() + task_run_s;
-    } else if (simulation_.now() > task.ready_at + settings_.gang_wait_s) {
+        task.ends_at_s = simulation_.now() + task_run_s;
+    } else if (simulation_.now() > task.ready_at_s + settings_.gang_wait_s) {
         exit_task(task, ExitReason::incomplete);
     }
 }
 
-// A gang's tasks save together: all must be told within gang_peer_s of the first.
+// A gang's tasks save together: all must be asked to within gang_peer_s of the first.
 void FakeWorkers::save_gang(const TaskId& id, FakeTask& task) {
-    int told = 0;
-    double first = never_s;
+    int requested_tasks = 0;
+    double first_request_s = never_s;
     for (const auto& [name, other] : machines_) {
         for (const auto& [other_id, attempts] : other.tasks) {
             auto it = attempts.find(task.attempt);
             if (other_id.uid == id.uid && it != attempts.end()) {
-                told += it->second.told_at < never_s ? 1 : 0;
-                first = std::min(first, it->second.told_at);
+                requested_tasks += it->second.stop_requested_at_s < never_s ? 1 : 0;
+                first_request_s = std::min(first_request_s, it->second.stop_requested_at_s);
             }
         }
     }
     const JobSpec& spec = ledger_.specs.at(id.uid);
-    if (simulation_.now() >= first + settings_.gang_peer_s && told < spec.tasks) {
+    if (simulation_.now() >= first_request_s + settings_.gang_peer_s &&
+        requested_tasks < spec.tasks) {
         exit_task(task, ExitReason::peers_gone);
-    } else if (simulation_.now() >= task.told_at + spec.save_s && told == spec.tasks) {
+    } else if (simulation_.now() >= task.stop_requested_at_s + spec.save_s &&
+               requested_tasks == spec.tasks) {
         exit_task(task, ExitReason::stopped);
         task.saved = true;
     }
@@ -140,7 +142,7 @@
     }
 }
 
-// Gangs complete together: when one task is done, all are.
+// When one task of a gang is done, all are.
 void FakeWorkers::complete_gang(const std::string& uid, std::uint64_t attempt) {
     for (int index = 0; index < ledger_.specs[uid].tasks; ++index) {
         ledger_.completed_tasks[uid].insert(index);
@@ -150,7 +152,7 @@
             auto it = attempts.find(attempt);
             if (id.uid == uid && it != attempts.end() && it->second.is_present()) {
                 exit_task(it->second, ExitReason::done);
-                worker.send_heartbeat_by(simulation_.now() + heartbeat_pause_s);
+                worker.send_heartbeat_by(simulation_.now() + heartbeat_interval_min_s);
             }
         }
     }
@@ -176,7 +178,8 @@
     if (attempts.empty()) {
         worker.tasks.erase(command.id);
     }
-    worker.send_heartbeat_by(std::max(simulation_.now(), worker.sent_at + heartbeat_pause_s));
+    worker.send_heartbeat_by(
+        std::max(simulation_.now(), worker.sent_at_s + heartbeat_interval_min_s));
 }
 
 void FakeWorkers::stop_task(const JobSpec& spec, const Command& command, FakeTask& task) const {
@@ -185,7 +188,7 @@
     bool can_save = task.state == TaskState::running || task.state == TaskState::saving;
     if (saves_together && has_time && can_save) {
         task.state = TaskState::saving;
-        task.told_at = std::min(task.told_at, simulation_.now());
+        task.stop_requested_at_s = std::min(task.stop_requested_at_s, simulation_.now());
     } else {
         exit_task(task, ExitReason::stopped);
         task.saved = command.grace_s > 0;
@@ -206,31 +209,31 @@
     const auto& attempts = worker.tasks.at(command.id);
     bool is_busy = std::any_of(attempts.begin(), attempts.end(),
                                [](const auto& other) { return is_live(other.second); });
-    Resources left = free_resources(worker);
+    Resources free = free_resources(worker);
     auto spec = ledger_.specs.find(command.id.uid);
     if (spec == ledger_.specs.end()) {
         exit_task(task, ExitReason::unknown_task);
     } else if (is_busy) {
         exit_task(task, ExitReason::busy);
-    } else if (!spec->second.each.fits_in(left)) {
+    } else if (!spec->second.each.fits_in(free)) {
         exit_task(task, ExitReason::no_room);
     } else {
         bool has_image = worker.images.contains(spec->second.image);
-        task.ready_at = simulation_.now() + (has_image ? 0.01 : image_fetch_s);
+        task.ready_at_s = simulation_.now() + (has_image ? 0.01 : image_fetch_s);
     }
     return task;
 }
 
 Resources FakeWorkers::free_resources(const FakeWorker& worker) {
-    Resources left = FakeCloud::machine_type().size;
+    Resources free = FakeCloud::machine_type().size;
     for (const auto& [id, attempts] : worker.tasks) {
         for (const auto& [attempt, task] : attempts) {
             if (is_live(task)) {
-                left -= ledger_.specs[id.uid].each;
+                free -= ledger_.specs[id.uid].each;
             }
         }
     }
-    return left;
+    return free;
 }
 
 Heartbeat FakeWorkers::make_heartbeat(FakeWorker& worker) {
@@ -239,8 +242,8 @@
                         "t8",
                         worker.info.zone,
                         worker.info.spot,
-                        worker.session,
-                        ++worker.seq,
+                        worker.agent_epoch,
+                        ++worker.last_sequence_number,
                         worker.fencing_token,
                         worker.notice_s,
                         {}};
--- a/tests/fake_worker.hpp
+++ b/tests/fake_worker.hpp
@@ -1,4 +1,4 @@
-// Fake workers: machines that fetch images, run tasks, keep a lease and execute commands.
+/// Fake workers: machines that fetch images, run tasks, hold a lease and execute commands.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 class InvariantChecker;
 
-/// A time that never comes, in s.
+/// A time after the end of every test, in s.
 constexpr double never_s = 1e18;
 
 /// An attempt of a task on a worker.
@@ -25,53 +25,54 @@
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
     ExitReason why = ExitReason::none;
-    bool saved = false;        ///< has written a checkpoint
-    double ready_at = 0;       ///< s; its image is there
-    double ends_at = never_s;  ///< s
-    double told_at = never_s;  ///< s; first told to save and stop
+    bool saved = false;                    ///< has written a checkpoint
+    double ready_at_s = 0;                 ///< when its image is fetched
+    double ends_at_s = never_s;            ///< when it completes by itself
+    double stop_requested_at_s = never_s;  ///< first request to save and stop
 
-    /// Whether it has begun and not ended, so that the others of its gang count it.
+    /// Whether it has started and not exited, so that its gang counts it as present.
     bool is_present() const { return state != TaskState::exited && state != TaskState::fetching; }
 };
 
-/// A machine with the worker on it.
+/// A machine with its worker.
 struct FakeWorker {
     ListedMachine info;
-    double made_at = 0;  ///< s; when it was rented
-    double up_at = 0;    ///< s; when it has booted
+    double created_at_s = 0;  ///< when it was launched
+    double booted_at_s = 0;   ///< end of its boot
     bool deleted = false;
 
     // Faults.
-    bool is_hung = false;           ///< silent and idle, but not gone
-    bool fails_tasks = false;       ///< every task ends with an error
-    bool is_unreachable = false;    ///< by everybody, and reaches nobody
-    bool loses_replies = false;     ///< its heartbeats arrive, answers and commands to it are lost
-    bool loses_heartbeats = false;  ///< its heartbeats reach nobody, commands reach it
-    int only_node = -1;             ///< the one node that it reaches and that reaches it; -1: all
-
-    std::vector<std::function<void()>> held_commands;           ///< came while it hung
-    Token fencing_token = 0;                                    ///< the greatest that it has seen
-    std::uint64_t session = 1;                                  ///< its agent epoch
-    std::uint64_t seq = 0;                                      ///< of its last heartbeat
-    double lease_from = 0;                                      ///< s
+    bool is_hung = false;           ///< neither answers nor acts, but is not deleted
+    bool fails_tasks = false;       ///< every task exits with an error
+    bool is_unreachable = false;    ///< no message from or to it arrives
+    bool loses_replies = false;     ///< its heartbeats arrive; replies and direct commands are lost
+    bool loses_heartbeats = false;  ///< its heartbeats are lost; direct commands arrive
+    int only_node = -1;             ///< the only node connected with it; -1: all nodes
+
+    std::vector<std::function<void()>> deferred_commands;  ///< received while it hung
+    Token fencing_token = 0;                               ///< the highest that it has received
+    std::uint64_t agent_epoch = 1;                         ///< incremented when its lease expires
+    std::uint64_t last_sequence_number = 0;                ///< of its last heartbeat
+    double lease_start_s = 0;
     std::map<TaskId, std::map<std::uint64_t, FakeTask>> tasks;  ///< by task and attempt
-    std::optional<double> notice_s;  ///< s until its spot machine is taken back
-    std::set<std::string> images;    ///< that it has fetched
-
-    // Its heartbeats.
-    std::size_t target = 0;  ///< node that it sends them to
-    bool in_flight = false;  ///< one waits for its answer
-    double sent_at = 0;      ///< s
-    double next_report = 0;  ///< s; when the next is due
-
-    /// Makes the next heartbeat due at this time if it was due later.
-    void send_heartbeat_by(double time);
+    std::optional<double>
+        notice_s;                  ///< seconds until its spot interruption; unset without a notice
+    std::set<std::string> images;  ///< fetched so far
+
+    // Heartbeats.
+    std::size_t target_node = 0;     ///< the node that it sends them to
+    bool in_flight = false;          ///< one awaits its reply
+    double sent_at_s = 0;            ///< when the last one was sent
+    double next_heartbeat_at_s = 0;  ///< when the next one is due
+
+    /// Moves the next heartbeat forward to this time if it was due later.
+    void send_heartbeat_by(double time_s);
 };
 
-/// All machines that were ever rented, by name.
+/// All machines that ever existed, deleted ones included, by name.
 using Machines = std::map<std::string, FakeWorker>;
 
-/// What the workers of a cluster do by themselves and with commands.
+/// The behaviour of all workers of a cluster, including their handling of commands.
 class FakeWorkers {
   public:
     FakeWorkers(const Simulation& simulation, const Settings& settings, Machines& machines,
@@ -82,18 +83,18 @@
           ledger_(ledger),
           invariants_(invariants) {}
 
-    /// Lets a worker go on until now; true if its next heartbeat is due.
+    /// Advances a worker to the current time; true if its next heartbeat is due.
     bool step(FakeWorker& worker);
-    /// Executes a command whose fencing token and session were found right.
+    /// Executes a command; the caller has checked its fencing token and agent epoch.
     void execute(FakeWorker& worker, const Command& command);
-    /// The next heartbeat of a worker.
+    /// Creates a worker's next heartbeat, with a new sequence number.
     static Heartbeat make_heartbeat(FakeWorker& worker);
 
-    /// Seconds that a worker takes to fetch an image.
+    /// Time to fetch an image, in s.
     double image_fetch_s = 0.5;
     /// Run time of the tasks of arrays and gangs, in s.
     double task_run_s = 20;
-    /// Jobs whose tasks fail wherever they run.
+    /// Jobs whose tasks fail on every machine.
     std::set<std::string> failing_jobs;
     /// Gangs that wrote a checkpoint when they were stopped.
     std::set<std::string> checkpointed_gangs;
@@ -103,7 +104,7 @@
   private:
     void expire_lease(FakeWorker& worker) const;
     void step_task(FakeWorker& worker, const TaskId& id, FakeTask& task);
-    void begin_task(FakeWorker& worker, const TaskId& id, FakeTask& task);
+    void finish_image_fetch(FakeWorker& worker, const TaskId& id, FakeTask& task);
     void await_gang(const TaskId& id, FakeTask& task);
     void save_gang(const TaskId& id, FakeTask& task);
     void complete_task(const TaskId& id, FakeTask& task);
--- a/tests/fault_combination_test.cpp
+++ b/tests/fault_combination_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_F(FaultCombinationTest, CopiesOfReportsComeLateWhileOwnersChange) {
     run_job(1, JobKind::service, 3);
-    auto before = cluster.machines_running(uid(1));
+    auto before = cluster.machines_running(job_uid(1));
     cluster.faults.duplicated_heartbeat_probability = 0.5;
     for (int round = 0; round < 6; ++round) {
         cluster.kill(round % 3);
@@ -21,8 +21,8 @@
     }
     cluster.faults.duplicated_heartbeat_probability = 0;
     cluster.run_for(40);  // until the last copy has come
-    EXPECT_EQ(cluster.machines_running(uid(1)), before);
-    EXPECT_EQ(attempts(1), 3);
+    EXPECT_EQ(cluster.machines_running(job_uid(1)), before);
+    EXPECT_EQ(attempts_on_machines(1), 3);
 }
 
 TEST_F(FaultCombinationTest, AnOldReportIsTheFirstThatANewOwnerHears) {
@@ -37,8 +37,8 @@
         cluster.send_heartbeat(i, old);
     }
     cluster.run_for(20);
-    EXPECT_EQ(cluster.machines_running(uid(1)), std::vector<std::string>{"vm-50000a"});
-    EXPECT_EQ(attempts(1), 1);
+    EXPECT_EQ(cluster.machines_running(job_uid(1)), std::vector<std::string>{"vm-50000a"});
+    EXPECT_EQ(attempts_on_machines(1), 1);
 }
 
 TEST_F(FaultCombinationTest, ALeaderEndsWhileAMachineDoesNotHearTheNextOne) {
@@ -51,14 +51,14 @@
     for (int i = 0; i < 200; ++i) {
         cluster.run_for(0.2);
         const auto& m = cluster.machines["vm-50000a"];
-        proved = proved || m.deleted || m.session > 1;
+        proved = proved || m.deleted || m.agent_epoch > 1;
         ASSERT_TRUE(proved ||
-                    cluster.machines_running(uid(1)) == std::vector<std::string>{"vm-50000a"})
+                    cluster.machines_running(job_uid(1)) == std::vector<std::string>{"vm-50000a"})
             << i;
-        ASSERT_LE(attempts(1), 1) << i;
+        ASSERT_LE(attempts_on_machines(1), 1) << i;
     }
     cluster.machines["vm-50000a"].loses_replies = false;
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 1; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 1; }, 60));
 }
 
 TEST_F(FaultCombinationTest, ACancelledTaskOnADeafMachineOfALeaderThatEnded) {
@@ -66,9 +66,9 @@
     cluster.machines["vm-50000a"].loses_replies = true;
     cluster.kill(0);
     cluster.run_for(1);
-    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(1))).state, "cancelled");
     cluster.run_for(cluster.settings.cancel_s * 1.2);
-    EXPECT_EQ(attempts(1), 0);
+    EXPECT_EQ(attempts_on_machines(1), 0);
 }
 
 TEST_F(FaultCombinationTest, TasksOfASmallJobEndOnEitherSideOfAChangeOfLeader) {
@@ -76,7 +76,7 @@
     for (auto& [name, m] : cluster.machines) {
         for (auto& [id, list] : m.tasks) {
             for (auto& [attempt, t] : list) {
-                t.ends_at = cluster.now() + 1 + 25.0 * id.index;
+                t.ends_at_s = cluster.now() + 1 + 25.0 * id.index;
             }
         }
     }
@@ -90,8 +90,8 @@
     cluster.kill(1);
     cluster.run_for(0.3);
     cluster.start(1);
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 90));
-    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "done");
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 90));
+    EXPECT_EQ(cluster.poll_and_wait(2, job_uid(1)).state, "done");
     EXPECT_TRUE(std::none_of(cluster.log_lines.begin(), cluster.log_lines.end(),
                              [](const std::string& line) {
                                  return line.find("start req-000001/") != std::string::npos &&
@@ -107,19 +107,19 @@
     cluster.faults.nodes_refused_by_store = {0};
     cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
     cluster.run_for(0.5);
-    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(1))).state, "cancelled");
     for (int i = 0; i < 20; ++i) {
         // Whatever the one that is cut off says to users, it is nothing older.
-        auto told = cluster.poll_and_wait(0, uid(1));
+        auto told = cluster.poll_and_wait(0, job_uid(1));
         EXPECT_TRUE(told.status == 503 || told.state == "cancelled") << told.state;
         cluster.run_for(2);
     }
     cluster.run_for(20);
-    EXPECT_EQ(attempts(1), 0);
+    EXPECT_EQ(attempts_on_machines(1), 0);
     cluster.faults.nodes_refused_by_store.clear();
     cluster.faults.cut_peer_links.clear();
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 20));
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(2)) == 1; }, 60));
 }
 
 TEST_F(FaultCombinationTest, TransactionsWithoutAnswersAreCarriedOutAfterNewerOnes) {
@@ -130,7 +130,7 @@
         cluster.submit(n % 3, s);
         cluster.run_for(2);
         if (n % 4 == 0) {
-            cluster.cancel((n + 1) % 3, uid(n - 1));
+            cluster.cancel((n + 1) % 3, job_uid(n - 1));
         }
         if (n == 6) {
             cluster.kill(1);
@@ -143,9 +143,10 @@
     cluster.run_for(15);  // the last of them
     ASSERT_TRUE(cluster.all_members(3));
     for (int n = 1; n <= 12; ++n) {
-        if (cluster.is_accepted(uid(n))) {
-            EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(n)); }, 60)) << n;
-            EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).status, 200) << n;
+        if (cluster.is_accepted(job_uid(n))) {
+            EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(n)); }, 60))
+                << n;
+            EXPECT_EQ(cluster.poll_and_wait(n % 3, job_uid(n)).status, 200) << n;
         }
     }
     for (int i = 0; i < 3; ++i) {
@@ -159,23 +160,24 @@
     run_job(2, JobKind::service, 1, "a");
     auto& m = cluster.machines["vm-50000a"];
     m.is_hung = true;
-    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(1))).state, "cancelled");
     cluster.run_for(2);
     cluster.kill(0);
     cluster.run_for(6);
     m.is_hung = false;  // what was held is carried out now, as far as its token is the newest
     cluster.run_for(3);
     EXPECT_TRUE(cluster.run_until(
-        [&] { return attempts(1) == 0 || cluster.running_tasks(uid(1)) == 0; }, 10));
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
+        [&] { return attempts_on_machines(1) == 0 || cluster.running_tasks(job_uid(1)) == 0; },
+        10));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(2)) == 1; }, 60));
     cluster.start(0);
     cluster.run_for(cluster.settings.cancel_s);
-    EXPECT_EQ(cluster.running_tasks(uid(2)), 1);
+    EXPECT_EQ(cluster.running_tasks(job_uid(2)), 1);
 }
 
 TEST_F(FaultCombinationTest, OverAndBackWithinASecondThenAllEndAndOneReturns) {
     run_job(1, JobKind::service, 3);
-    auto before = cluster.machines_running(uid(1));
+    auto before = cluster.machines_running(job_uid(1));
     for (int i : {0, 1, 0, 2}) {
         cluster.kill(i);
         cluster.run_for(0.2);
@@ -188,14 +190,14 @@
     cluster.run_for(0.3);
     cluster.start(2);
     cluster.run_for(15);
-    EXPECT_EQ(cluster.machines_running(uid(1)), before);
-    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "running");
+    EXPECT_EQ(cluster.machines_running(job_uid(1)), before);
+    EXPECT_EQ(cluster.poll_and_wait(2, job_uid(1)).state, "running");
     cluster.start(0);
     cluster.start(1);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
     cluster.run_for(10);
-    EXPECT_EQ(cluster.machines_running(uid(1)), before);
-    EXPECT_EQ(attempts(1), 3);
+    EXPECT_EQ(cluster.machines_running(job_uid(1)), before);
+    EXPECT_EQ(attempts_on_machines(1), 3);
 }
 
 TEST_F(FaultCombinationTest, AnswersTakeSecondsWhileUsersCancelAndAsk) {
@@ -203,21 +205,24 @@
         auto s = cluster.make_job(n, JobKind::service, 1);
         ASSERT_EQ(cluster.submit_and_wait(n % 3, s).status, 201);
     }
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(4)) == 1; }, 40));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(4)) == 1; }, 40));
     cluster.simulation.slow_message_probability = 0.4;
     for (int i = 0; i < 30; ++i) {
-        cluster.cancel(i % 3, uid(1 + i % 2));
-        cluster.poll(i % 3, uid(1 + i % 4));
+        cluster.cancel(i % 3, job_uid(1 + i % 2));
+        cluster.poll(i % 3, job_uid(1 + i % 4));
         cluster.run_for(2);
     }
     cluster.simulation.slow_message_probability = 0;
     cluster.run_for(10);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 20));
     for (int n = 1; n <= 4; ++n) {
-        EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).status, 200) << n;  // nobody is forgotten
+        EXPECT_EQ(cluster.poll_and_wait(n % 3, job_uid(n)).status, 200)
+            << n;  // nobody is forgotten
     }
     EXPECT_TRUE(cluster.run_until(
-        [&] { return cluster.running_tasks(uid(3)) == 1 && cluster.running_tasks(uid(4)) == 1; },
+        [&] {
+            return cluster.running_tasks(job_uid(3)) == 1 && cluster.running_tasks(job_uid(4)) == 1;
+        },
         60));
 }
 
@@ -230,9 +235,10 @@
     cluster.run_for(5);
     int answered = 0;
     for (int i = 0; i < 60; ++i) {
-        cluster.poll(i % 3, uid(1));  // its check is on its way when the next one comes
+        cluster.poll(i % 3, job_uid(1));  // its check is on its way when the next one comes
         cluster.run_for(0.1);
-        answered += cluster.wait_for_reply(cluster.poll(i % 3, uid(1)), 2).status == 200 ? 1 : 0;
+        answered +=
+            cluster.wait_for_reply(cluster.poll(i % 3, job_uid(1)), 2).status == 200 ? 1 : 0;
     }
     EXPECT_EQ(answered, 60);
 }
--- a/tests/gang_preemption_test.cpp
+++ b/tests/gang_preemption_test.cpp
@@ -8,7 +8,7 @@
 struct GangPreemptionTest : ThreeControllerTest {
     const std::string gang = "req-000001";
     void fill() {
-        begin(3);
+        start_cluster(3);
         cluster.cloud.capacity = 0;
         cluster.workers.task_run_s = 400;
         for (int i = 0; i < 4; ++i) {
@@ -74,7 +74,7 @@
 }
 
 TEST_F(GangPreemptionTest, SavesBeforeAMachineIsTakenAway) {
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 400;
     for (int i = 0; i < 4; ++i) {
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -7,7 +7,7 @@
 struct ThreeControllerGangSchedulingTest : ThreeControllerTest {};
 
 TEST_F(ThreeControllerGangSchedulingTest, AGangStartsWholeAlsoOnMachinesOfSeveralMembers) {
-    begin(3);
+    start_cluster(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
     gang.each = {60, 8, 400};
     gang.spread = true;
@@ -18,7 +18,7 @@
 
 TEST_F(ThreeControllerGangSchedulingTest, AGangThatLosesATaskIsStoppedAndStartedAgainWhole) {
     cluster.workers.task_run_s = 60;
-    begin(3);
+    start_cluster(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
     gang.each = {60, 8, 400};
     cluster.submit_and_wait(0, gang);
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -11,36 +11,37 @@
 struct ThreeControllerHeartbeatTest : ThreeControllerTest {};
 
 TEST_F(HeartbeatTest, NothingIsStartedBeforeAReportCarriesOurToken) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
-    auto first = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1));
+    auto first = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1));
     EXPECT_EQ(first.status, 200);
     EXPECT_TRUE(first.commands.empty());
-    auto second = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", first.token, 2));
+    auto second =
+        cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", first.token, 2));
     ASSERT_EQ(second.commands.size(), 1U);
     EXPECT_EQ(second.commands[0].kind, Command::Kind::start);
 }
 
 TEST_F(HeartbeatTest, AHigherTokenThanOursGets421WithoutHome) {
-    begin();
-    auto reply = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 999, 1));
+    start_cluster();
+    auto reply = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 999, 1));
     EXPECT_EQ(reply.status, 421);
     EXPECT_EQ(reply.home, "");
 }
 
 TEST_F(ThreeControllerHeartbeatTest, AnothersMachineIsSentHomeAndRelayedIfItComesBack) {
-    begin(3);
-    auto sent = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 1));
+    start_cluster(3);
+    auto sent = cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", 0, 1));
     EXPECT_EQ(sent.status, 421);
     EXPECT_EQ(sent.home, "n0");  // of its own zone
     // It is back: its owner can't be reached from there.
-    auto relayed = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 2));
+    auto relayed = cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", 0, 2));
     EXPECT_EQ(relayed.status, 200);
     EXPECT_EQ(relayed.token, cluster.controller(0).context().fencing_token);
 }
 
 TEST_F(ThreeControllerHeartbeatTest, MachinesWhoseOwnerIsCutOffFromThemKeepTheirLeases) {
-    begin(3);
+    start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
     auto before = cluster.machines_running("req-000001");
@@ -48,7 +49,7 @@
     cluster.run_for(40);
     EXPECT_EQ(cluster.machines_running("req-000001"), before);
     for (const auto& name : before) {
-        EXPECT_EQ(cluster.machines[name].session, 1U);
+        EXPECT_EQ(cluster.machines[name].agent_epoch, 1U);
     }
 }
 
@@ -57,7 +58,7 @@
     // silence is told, and their answers were kept open longer than the relay waits: 132 healthy
     // machines were released in ten seconds.
     cluster.settings.report_s = 4;
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     for (int i = 0; i < 60; ++i) {
         cluster.add_machine(fmt::format("vm-5000{:02}", i),
@@ -74,14 +75,14 @@
     cluster.run_for(20);
     EXPECT_EQ(cluster.cloud.machine_count(), up);
     for (const auto& [name, m] : cluster.machines) {
-        EXPECT_EQ(m.session, 1U) << name;
+        EXPECT_EQ(m.agent_epoch, 1U) << name;
     }
 }
 
 TEST_F(ThreeControllerHeartbeatTest, AWorkerThatWasRelayedGoesHomeOnceItCan) {
     // Found in a restart of a controller among hundreds of machines that stop: workers relayed once
     // were relayed for good.
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
@@ -97,13 +98,13 @@
     ASSERT_TRUE(cluster.run_until(relayed, 20));
     cluster.faults.nodes_cut_from_workers.clear();
     EXPECT_TRUE(cluster.run_until([&] { return !relayed(); }, 45));
-    EXPECT_EQ(cluster.machines.at("vm-500000").session, 1U);
+    EXPECT_EQ(cluster.machines.at("vm-500000").agent_epoch, 1U);
 }
 
 TEST_F(ThreeControllerHeartbeatTest, AFewRelayedReportsMakeNoOwnerPatientWithOthers) {
     // The same day: one relayed report in 12 s, and none of its owner's machines was fenced in
     // time.
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     for (int i = 0; i < 12; ++i) {
         cluster.add_machine(fmt::format("vm-5000{:02}", i), "a");
@@ -115,8 +116,10 @@
     Token token = cluster.controller(0).context().fencing_token;
     cluster.machines.at("vm-500003").is_hung = true;
     cluster.run_for(1);
-    EXPECT_EQ(cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", token, 1)).status, 421);
-    EXPECT_EQ(cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", token, 2)).status, 200);
+    EXPECT_EQ(cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", token, 1)).status,
+              421);
+    EXPECT_EQ(cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", token, 2)).status,
+              200);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.machines.at("vm-500003").deleted; }, 10));
 }
 
@@ -124,14 +127,15 @@
     cluster.faults.store_down = true;
     cluster.start_all();
     cluster.run_for(1);
-    EXPECT_EQ(cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1)).status, 503);
+    EXPECT_EQ(cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1)).status,
+              503);
 }
 
 TEST_F(HeartbeatTest, AnOlderReportIsIgnored) {
-    begin();
-    auto token = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 5)).token;
+    start_cluster();
+    auto token = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 5)).token;
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
-    auto old = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 4));
+    auto old = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 4));
     EXPECT_TRUE(old.commands.empty());
     EXPECT_FALSE(cluster.controller(0).agent_manager().registry().adopted("vm-100000"));
 }
@@ -139,7 +143,7 @@
 TEST_F(ThreeControllerHeartbeatTest, EndsThatOnlyWaitToBeWrittenFenceNoMachine) {
     // Found in a shortage of writes: machines were released for cancelled tasks that had ended
     // there, and the work that went with them made the shortage last.
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 4));
@@ -168,7 +172,7 @@
     cluster.settings.report_s = 8;
     cluster.settings.lease_s = 42;
     cluster.settings.cancel_s = 67;
-    begin();
+    start_cluster();
     cluster.add_machine("vm-500000", "a");
     cluster.cloud.capacity = 0;
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(HttpServer, HalfSentRequestsMakeRoomForAWholeOne) {
     Loop loop;
-    auto address = local(free_port());
+    auto address = loopback_address(free_port());
     constexpr std::size_t sockets = 4;
     HttpServer server(loop, address, sockets, [&](std::uint64_t request, HttpMessage&&) {
         server.reply(request, 200, "");
@@ -50,7 +50,7 @@
 
 TEST(HttpServer, IdleUsersMakeRoomBeforeIdleWorkers) {
     Loop loop;
-    auto address = local(free_port());
+    auto address = loopback_address(free_port());
     constexpr std::size_t sockets = 4;
     HttpServer server(loop, address, sockets, [&](std::uint64_t request, HttpMessage&& m) {
         bool worker = m.target == "/hello";
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -5,7 +5,7 @@
 namespace cranemoor::test {
 
 namespace {
-// Above any rounding of sums of GPU shares.
+// Exceeds any rounding error of sums of GPU shares.
 constexpr double gpu_tolerance = 1e-6;
 
 // Calls visit(worker, task id, task) for each task that has not exited.
@@ -112,9 +112,9 @@
 void InvariantChecker::check_cancelled_job(const std::string& uid) {
     for_each_live_task(
         machines_, [&](const FakeWorker& worker, const TaskId& id, const FakeTask& /*task*/) {
-            // Whatever is on a machine that hangs has ended with its lease.
+            // Tasks on a machine that hangs have ended with its lease.
             bool has_lost_lease =
-                worker.is_hung && simulation_.now() - worker.lease_from > settings_.lease_s;
+                worker.is_hung && simulation_.now() - worker.lease_start_s > settings_.lease_s;
             if (id.uid == uid && !has_lost_lease) {
                 violations.push_back("ran_cancelled: " + id.text());
             }
@@ -133,7 +133,7 @@
             return ledger_.cancel_requested.count(uid) != 0;
         };
         if (!ledger_.holds_for_job_or_dependency(reply.uid, was_requested)) {
-            violations.push_back("went_back (nobody cancelled it): " + reply.uid);
+            violations.push_back("went_back (no cancellation was requested): " + reply.uid);
         }
     } else if (!reply.state.empty() &&
                ledger_.holds_for_job_or_dependency(
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -1,4 +1,4 @@
-// Checks the protocol's rules against what really runs on the workers and what users were told.
+/// Checks the protocol's invariants against the tasks on the workers and the replies to users.
 #pragma once
 
 #include <string>
@@ -11,21 +11,23 @@
 
 namespace cranemoor::test {
 
-/// Collects violations of the protocol's rules; a test fails if there are any.
+/// Collects violations of the protocol's invariants; a test fails if there are any.
 class InvariantChecker {
   public:
     InvariantChecker(const Simulation& simulation, const Settings& settings,
                      const Machines& machines, JobLedger& ledger)
         : simulation_(simulation), settings_(settings), machines_(machines), ledger_(ledger) {}
 
-    /// Checks a task that has just been started on a worker: once only, quota, placement, order.
+    /// Checks a task that was just started on a worker: no second live attempt, quota, placement,
+    /// dependencies and cancellation.
     void check_start(const FakeWorker& worker, const TaskId& id);
-    /// Checks that no task of a cancelled job runs longer than cancel_s after its confirmation.
+    /// Checks that no task of a cancelled job runs later than cancel_s after the cancellation was
+    /// confirmed to a user.
     void check_cancelled_jobs();
-    /// Checks a reply to a user against the jobs' true states.
+    /// Checks a reply to a user against the ledger.
     void check_user_reply(const UserReply& reply);
 
-    /// The rules that were violated, in words.
+    /// One text per violation: the rule and the task, job, team or key.
     std::vector<std::string> violations;
 
   private:
--- a/tests/job_cancellation_test.cpp
+++ b/tests/job_cancellation_test.cpp
@@ -10,7 +10,7 @@
 struct ThreeControllerJobCancellationTest : ThreeControllerTest {};
 
 TEST_F(ThreeControllerJobCancellationTest, APollSeesACancellationThatAnotherNodeHasJustConfirmed) {
-    begin(3);
+    start_cluster(3);
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service)).status, 201);
     for (int node = 0; node < 3; ++node) {
         ASSERT_EQ(cluster.poll_and_wait(node, "req-000001").status, 200);
@@ -23,13 +23,13 @@
 
 TEST_F(JobCancellationTest, ACancellationStandsAlthoughTheLastTaskWasDoneMeanwhile) {
     // Found by drawn faults: the final record said "done" after its user was told otherwise.
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1));
-    auto token = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1)).token;
-    auto start = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 2));
+    auto token = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1)).token;
+    auto start = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 2));
     ASSERT_EQ(start.commands.size(), 1U);
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000001")).state, "cancelled");
-    auto done = bare_heartbeat("vm-100000", "a", token, 3);
+    auto done = heartbeat_without_tasks("vm-100000", "a", token, 3);
     done.tasks.push_back(
         {{"req-000001", 0}, start.commands[0].attempt, TaskState::exited, ExitReason::done, false});
     cluster.send_heartbeat(0, done);
@@ -38,7 +38,7 @@
 }
 
 TEST_F(JobCancellationTest, ACancelledTaskBehindACutIsReleasedInTime) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
     std::string place = cluster.machines_running("req-000001")[0];
--- a/tests/job_ledger.hpp
+++ b/tests/job_ledger.hpp
@@ -1,4 +1,5 @@
-// What users asked for and what the workers completed: the truth that answers are checked against.
+/// Ground truth for the checks of replies: the users' requests and the tasks that workers
+/// completed.
 #pragma once
 
 #include <algorithm>
@@ -13,28 +14,28 @@
 
 using namespace core;
 
-/// The jobs of a simulated cluster as users and workers know them, whatever the controllers say.
+/// The jobs of a simulated cluster as users and workers know them, independent of the controllers.
 struct JobLedger {
     /// Jobs that were submitted, by uid.
     std::map<std::string, JobSpec> specs;
-    /// When a user was first told that the job is cancelled, in s.
+    /// Time of the first reply to a user that reported the job as cancelled, in s, by uid.
     std::map<std::string, double> cancelled_at;
-    /// Jobs whose cancellation a user asked for.
+    /// Jobs whose cancellation a user requested.
     std::set<std::string> cancel_requested;
     /// Indexes of the tasks that completed on a worker, by uid.
     std::map<std::string, std::set<int>> completed_tasks;
 
-    /// Whether a predicate holds of a job or of any that it depends on, directly or not.
-    bool holds_for_job_or_dependency(const std::string& uid,
-                                     const std::function<bool(const std::string&)>& holds) const {
-        if (holds(uid)) {
+    /// Whether a predicate holds for a job or any of its direct or transitive dependencies.
+    bool holds_for_job_or_dependency(
+        const std::string& uid, const std::function<bool(const std::string&)>& predicate) const {
+        if (predicate(uid)) {
             return true;
         }
         auto spec = specs.find(uid);
         return spec != specs.end() &&
                std::any_of(spec->second.follows.begin(), spec->second.follows.end(),
                            [&](const auto& dependency) {
-                               return holds_for_job_or_dependency(dependency, holds);
+                               return holds_for_job_or_dependency(dependency, predicate);
                            });
     }
 };
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -101,18 +101,18 @@
     submit(2, JobKind::array, 4, 2);
     submit(3, JobKind::gang, 2, 2);
     cluster.run_for(10);
-    cluster.cancel(0, uid(3));
+    cluster.cancel(0, job_uid(3));
     cluster.run_for(0.05);
     for (int i = 0; i < 3; ++i) {
         cluster.kill(i);
     }
     cluster.run_for(cluster.settings.lease_s + 8);
-    EXPECT_EQ(cluster.running_tasks(uid(1)), 0);  // every lease is over
+    EXPECT_EQ(cluster.running_tasks(job_uid(1)), 0);  // every lease is over
     cluster.start(2);
     cluster.run_for(5);
     back();
     nobody_waits();
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 3; }, 60));
 }
 
 TEST_F(LeaderChangeTest, TheLeaderChangesTenTimesInTwoMinutesAlsoInsideAnOutage) {
@@ -131,12 +131,12 @@
         cluster.run_for(9);
         cluster.faults.store_down = false;
         if (change % 3 == 0) {
-            cluster.cancel((change + 1) % 3, uid(10 + change));
+            cluster.cancel((change + 1) % 3, job_uid(10 + change));
         }
     }
     back();
     nobody_waits();
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 3; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 3; }, 60));
 }
 
 TEST_F(LeaderChangeTest, JobsBoundToOneZoneLoseMachines) {
@@ -158,7 +158,7 @@
         back();
     }
     nobody_waits();
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(3)) == 2; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(3)) == 2; }, 60));
 }
 
 TEST_F(LeaderChangeTest, AZoneWithItsControllerIsCutOffForLongerThanALease) {
@@ -173,9 +173,9 @@
         m.only_node = m.info.zone == "c" ? 2 : -1;
     }
     cluster.run_for(6);
-    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(0, uid(1))).state, "cancelled");
+    ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(0, job_uid(1))).state, "cancelled");
     cluster.run_for(1.5 * cluster.settings.lease_s);
-    EXPECT_EQ(cluster.running_tasks(uid(1)), 0);
+    EXPECT_EQ(cluster.running_tasks(job_uid(1)), 0);
     cluster.faults.nodes_refused_by_store.clear();
     cluster.faults.cut_peer_links.clear();
     for (auto& [name, m] : cluster.machines) {
@@ -200,7 +200,7 @@
         cluster.submit(n % 3, s);
         specs.push_back(s);
         if (n % 5 == 0) {
-            cluster.cancel((n + 1) % 3, uid(n - 1));
+            cluster.cancel((n + 1) % 3, job_uid(n - 1));
         }
         if (n == 12) {
             cluster.kill(leader());
--- a/tests/lowered_limit_test.cpp
+++ b/tests/lowered_limit_test.cpp
@@ -59,7 +59,7 @@
             placed[std::to_string(t)] = {name, zone, 1, 1};
             auto& task = cluster.machines[name].tasks[{s.uid, t}][1];
             task.attempt = 1;
-            task.ready_at = 1;
+            task.ready_at_s = 1;
         }
         cluster.store.put("c/b/" + s.uid + "/0",
                           {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
@@ -79,15 +79,16 @@
     lower();
     cluster.start_all();
     ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/p/").empty(); }, 30));
-    expect_readable_by_production("c/j/" + uid(1), *cluster.store.find("c/j/" + uid(1)));
+    expect_readable_by_previous_version("c/j/" + job_uid(1),
+                                        *cluster.store.find("c/j/" + job_uid(1)));
     // A crash of everybody between two steps loses and doubles nothing.
     for (int i = 0; i < 3; ++i) {
         cluster.kill(i);
     }
     cluster.run_for(1);
     cluster.start_all();
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
-    EXPECT_EQ(cluster.poll_and_wait(0, uid(1)).state, "done");
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 120));
+    EXPECT_EQ(cluster.poll_and_wait(0, job_uid(1)).state, "done");
     for (int i = 0; i < 3; ++i) {
         EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
     }
@@ -99,8 +100,8 @@
         },
         120));
     for (int n = 1; n <= 12; ++n) {
-        EXPECT_EQ(cluster.poll_and_wait(n % 3, uid(n)).state, "done");
-        EXPECT_NE(cluster.store.find("f/" + uid(n)), nullptr);
+        EXPECT_EQ(cluster.poll_and_wait(n % 3, job_uid(n)).state, "done");
+        EXPECT_NE(cluster.store.find("f/" + job_uid(n)), nullptr);
     }
 }
 
@@ -110,11 +111,11 @@
     cluster.start(0);
     cluster.start(1);
     ASSERT_TRUE(cluster.run_until(
-        [&] { return !cluster.store.find("c/b/" + uid(1) + "/0")->at("done").empty(); }, 60));
+        [&] { return !cluster.store.find("c/b/" + job_uid(1) + "/0")->at("done").empty(); }, 60));
     EXPECT_TRUE(cluster.store.keys("c/p/").empty());
     cluster.start(2);
     lower();
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 120));
 }
 
 TEST_F(LoweredLimitTest, AJobWhoseBlockIsTooLargeCanBeCancelled) {
@@ -123,11 +124,11 @@
     lower();
     cluster.start_all();
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) >= 120; }, 20));
-    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) == 0; }, 10));
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 30));
-    EXPECT_EQ(cluster.poll_and_wait(2, uid(1)).state, "cancelled");
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) >= 120; }, 20));
+    EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(1))).state, "cancelled");
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 0; }, 10));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 30));
+    EXPECT_EQ(cluster.poll_and_wait(2, job_uid(1)).state, "cancelled");
 }
 
 TEST_F(LoweredLimitTest, ALateWriteOfTheVersionBeforeMeetsThePages) {
@@ -135,28 +136,29 @@
     cluster.workers.task_run_s = 30;
     write_records(big());
     cluster.start_all();
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(1)) >= 120; }, 20));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) >= 120; }, 20));
     for (auto& [id, attempts] : cluster.machines["vm-900000"].tasks) {
-        attempts[1].ends_at = cluster.now() + (id.index < 20 ? 1 : 1000);
+        attempts[1].ends_at_s = cluster.now() + (id.index < 20 ? 1 : 1000);
     }
     ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/p/").empty(); }, 30));
-    Json block = *cluster.store.find("c/b/" + uid(1) + "/0");
+    Json block = *cluster.store.find("c/b/" + job_uid(1) + "/0");
     for (int t : {5, 50, 51}) {
         block["placed"].erase(std::to_string(t));
         if (t != 5) {
-            cluster.machines["vm-900001"].tasks.erase({uid(1), t});  // as it says: they are lost
+            cluster.machines["vm-900001"].tasks.erase(
+                {job_uid(1), t});  // as it says: they are lost
         }
     }
     block["done"] = {{5, 5}};
-    cluster.store.put("c/b/" + uid(1) + "/0", block);
+    cluster.store.put("c/b/" + job_uid(1) + "/0", block);
     cluster.run_for(1);
     const auto& jobs = cluster.controller(0).context().jobs;
     EXPECT_TRUE(jobs.indexes_agree());
-    EXPECT_TRUE(jobs.find(uid(1))->block(0).is_done(5));
+    EXPECT_TRUE(jobs.find(job_uid(1))->block(0).is_done(5));
     for (auto& [id, attempts] : cluster.machines["vm-900000"].tasks) {
-        attempts[1].ends_at = cluster.now();
+        attempts[1].ends_at_s = cluster.now();
     }
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 120));
 }
 
 TEST_F(LoweredLimitTest, PagesOfASpreadJobShareItsRule) {
@@ -172,29 +174,29 @@
         placed[std::to_string(t)] = {"vm-900001", "b", 1, 1};
     }
     auto spread = s;
-    spread.uid = uid(50);
+    spread.uid = job_uid(50);
     cluster.users.add_submitted(spread);
     cluster.store.put("c/a/1-2", {{"jobs", {listed(spread, 102)}}});
     cluster.machines["vm-900001"].tasks.clear();
-    cluster.store.put("c/b/" + uid(1) + "/0",
+    cluster.store.put("c/b/" + job_uid(1) + "/0",
                       {{"attempt", 1}, {"placed", Json::object()}, {"done", {{0, 127}}}});
     cluster.machines["vm-900000"].tasks.clear();
     cluster.machines["vm-900002"].tasks.clear();
     for (int t = 30; t < 60; ++t) {
         auto& task = cluster.machines["vm-900001"].tasks[{spread.uid, t}][1];
         task.attempt = 1;
-        task.ready_at = 1;
+        task.ready_at_s = 1;
     }
     auto record = listed(spread, 102);
     record["page_size"] = 20;
-    cluster.store.put("c/j/" + uid(50), record);
-    cluster.store.put("c/b/" + uid(50) + "/0",
+    cluster.store.put("c/j/" + job_uid(50), record);
+    cluster.store.put("c/b/" + job_uid(50) + "/0",
                       {{"attempt", 1}, {"placed", placed}, {"done", Json::array()}});
     lower();
     cluster.start_all();
-    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(50)) == 60; }, 60));
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(50)) == 60; }, 60));
     int in_b = 0;
-    for (const auto& name : cluster.machines_running(uid(50))) {
+    for (const auto& name : cluster.machines_running(job_uid(50))) {
         in_b += cluster.machines[name].info.zone == "b" ? 1 : 0;
     }
     EXPECT_EQ(in_b, 30);
@@ -204,7 +206,7 @@
     write_records(big());
     cluster.machines.clear();
     cluster.store.erase("c/a/1-1");
-    cluster.store.erase("c/b/" + uid(1) + "/0");
+    cluster.store.erase("c/b/" + job_uid(1) + "/0");
     Json names = Json::array();
     for (int i = 0; i < 100; ++i) {
         names.push_back(fmt::format("vm-80{:04}", i));
@@ -225,7 +227,7 @@
     cluster.settings.state_value_kb = 2;
     cluster.settings.state_txn_ops = 4;
     lower();
-    begin(3);
+    start_cluster(3);
     cluster.workers.task_run_s = 10;
     auto wide = cluster.make_job(3, JobKind::array, 10);
     wide.types = std::vector<std::string>{"t8"};
@@ -243,8 +245,8 @@
     }
     EXPECT_TRUE(cluster.run_until(
         [&] {
-            return cluster.is_finished(uid(1)) && cluster.is_finished(uid(2)) &&
-                   cluster.is_finished(uid(3));
+            return cluster.is_finished(job_uid(1)) && cluster.is_finished(job_uid(2)) &&
+                   cluster.is_finished(job_uid(3));
         },
         200));
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -7,7 +7,7 @@
 struct ThreeControllerMembershipTest : ThreeControllerTest {};
 
 TEST_F(ThreeControllerMembershipTest, ARestartedProcessJoinsAsANewMemberInANewEpoch) {
-    begin(3);
+    start_cluster(3);
     Epoch before = *cluster.controller(0).context().jobs.epoch();
     cluster.kill(1);
     cluster.start(1);
@@ -20,7 +20,7 @@
 }
 
 TEST_F(ThreeControllerMembershipTest, EveryTransactionOfWorkIsConditionalOnTheEpoch) {
-    begin(3);
+    start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 2));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 2; }, 30));
     // The epoch moves on: whatever was under way under the old one must die.
@@ -35,7 +35,7 @@
 }
 
 TEST_F(ThreeControllerMembershipTest, ADeadMemberIsRemovedAndItsMachinesAreAdopted) {
-    begin(3);
+    start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
     auto places = cluster.machines_running("req-000001");
@@ -66,13 +66,13 @@
 }
 
 TEST_F(ThreeControllerMembershipTest, ANodeRefusedByTheStateServiceAloneStopsAnsweringItsWorkers) {
-    begin(3);
+    start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
     cluster.faults.nodes_refused_by_store.insert(0);
     cluster.run_for(8);
     EXPECT_FALSE(cluster.controller(0).healthy({cluster.now(), 1.7e9 + cluster.now()}));
-    auto reply = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1));
+    auto reply = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1));
     EXPECT_EQ(reply.status, 503);
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, "req-000001")).state, "cancelled");
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 0; }, 30));
@@ -81,7 +81,7 @@
 TEST_F(ThreeControllerMembershipTest, ANodeThatWasRefusedIsBackAtOnceWhenItIsServedAgain) {
     // Incident inc-6e4f: its open watch was not served any more, and it joined only when the time
     // of that watch was over.
-    begin(3);
+    start_cluster(3);
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status,
               201);  // its watch is a fresh one
     cluster.run_for(0.1);
@@ -94,7 +94,7 @@
 }
 
 TEST_F(ThreeControllerMembershipTest, DuringACommonOutageWorkersAreStillAnswered) {
-    begin(3);
+    start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
     auto before = cluster.machines_running("req-000001");
@@ -113,7 +113,7 @@
         cluster.add_machine(fmt::format("vm-{:06}", 500000 + i), cluster.settings.zones[i % 3U]);
     }
     cluster.cloud.capacity = 0;
-    begin(3);
+    start_cluster(3);
     for (int i = 0; i < 36; ++i) {
         cluster.submit_and_wait(i % 3, cluster.make_job(i + 1, JobKind::service, 8));
     }
--- a/tests/network_faults.hpp
+++ b/tests/network_faults.hpp
@@ -1,4 +1,4 @@
-// Faults that a test injects between the controllers and everything that they talk to.
+/// Faults that a test injects between the controllers and the services, workers and peers.
 #pragma once
 
 #include <functional>
@@ -11,40 +11,41 @@
 namespace cranemoor::test {
 
 /// Faults of the simulated network and services; a test may change each at any time. Nodes are
-/// named by their index.
+/// identified by their index.
 struct NetworkFaults {
     /// The key-value store refuses every request.
     bool store_down = false;
-    /// The cloud answers nothing.
+    /// The cloud answers no call.
     bool cloud_down = false;
-    /// Nodes that the key-value store refuses.
+    /// Nodes whose requests the key-value store refuses.
     std::set<int> nodes_refused_by_store;
-    /// Nodes that no worker reaches and that reach no worker.
+    /// Nodes without a connection to any worker, in either direction.
     std::set<int> nodes_cut_from_workers;
-    /// Pairs of nodes, the lower index first, that don't reach each other.
+    /// Pairs of nodes, the lower index first, without a connection to each other.
     std::set<std::pair<int, int>> cut_peer_links;
-    /// Nodes whose peer heartbeats lack read leases, as those of the version before.
+    /// Nodes whose peer heartbeats lack read leases, as in the previous version.
     std::set<int> nodes_without_read_leases;
 
     /// Probability that a reply of the key-value store or of the cloud is lost.
     double lost_reply_probability = 0;
-    /// Probability that a transaction is executed seconds late, without a reply.
+    /// Probability that a transaction is executed seconds late and its reply is lost.
     double delayed_transaction_probability = 0;
-    /// Probability that a copy of a worker's heartbeat arrives once more, late.
+    /// Probability that a worker's heartbeat arrives a second time, late.
     double duplicated_heartbeat_probability = 0;
-    /// Probability that a copy of a worker's heartbeat is recorded for replay.
+    /// Probability that a worker's heartbeat is recorded for replay.
     double recorded_heartbeat_probability = 0;
-    /// Seconds until a reply of the key-value store is sent.
+    /// Seconds from the execution of a key-value store call until its reply is sent.
     double store_reply_delay_s = 0;
 
-    /// Seconds until a transaction is executed; one that is held is not answered. May be empty.
+    /// Seconds that a transaction is held before its execution; the reply to a held one is lost.
+    /// May be empty.
     std::function<double(const core::Txn&)> transaction_hold_s;
-    /// Seconds from a transaction's execution to its reply; from the client's timeout on there is
-    /// none. May be empty.
+    /// Seconds from a transaction's execution to its reply, which is lost if that reaches the
+    /// client's timeout. May be empty.
     std::function<double(const core::Txn&)> transaction_reply_delay_s;
-    /// Seconds until a transaction is executed and answered. May be empty.
+    /// Additional seconds until a transaction is executed and answered. May be empty.
     std::function<double(const core::Txn&)> transaction_delay_s;
-    /// Whether a transaction is refused as if it were over the rate limit. May be empty.
+    /// Whether a transaction is refused as if it exceeded the rate limit. May be empty.
     std::function<bool(const core::Txn&)> refuse_transaction;
 };
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -33,7 +33,7 @@
 struct ThreeControllerOverloadTest : ThreeControllerTest {};
 
 TEST_F(OverloadTest, AClassOfLowerPriorityIsNotLeftWithoutRoom) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
@@ -53,7 +53,7 @@
 }
 
 TEST_F(OverloadTest, AGangBelowItsFloorWaitsForWhatRunsOut) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 40;
     cluster.add_machine("vm-500000", "a");
@@ -83,7 +83,7 @@
 }
 
 TEST_F(ThreeControllerOverloadTest, WhileWritesAreShortClaimsOfManyJobsShareARecord) {
-    begin(3);
+    start_cluster(3);
     cluster.workers.task_run_s = 30;
     cluster.run_for(2);
     cluster.store.put_admission_table(true, {1, 1, 1});
@@ -101,7 +101,7 @@
 }
 
 TEST_F(ThreeControllerOverloadTest, WhatSheetsSayOutlivesTheMembersThatSaidIt) {
-    begin(3);
+    start_cluster(3);
     cluster.workers.task_run_s = 40;
     cluster.store.put_admission_table(true, {1, 2, 3});
     for (int n = 1; n <= 20; ++n) {
@@ -129,7 +129,7 @@
 }
 
 TEST_F(ThreeControllerOverloadTest, ATableThatTurnsOverAndOverMakesNobodyClaimTwice) {
-    begin(3);
+    start_cluster(3);
     for (int n = 1; n <= 30; ++n) {
         cluster.submit(n % 3, cluster.make_job(n, JobKind::array, 4));
         cluster.store.put_admission_table(n % 2 == 0, {1 + n % 3, 1 + n % 5, 1 + n % 7});
@@ -144,7 +144,7 @@
 };
 
 TEST_F(NineControllerOverloadTest, AnEndEverySecondCostsFewEpochsAndNoLease) {
-    begin(9);
+    start_cluster(9);
     cluster.workers.task_run_s = 200;
     for (int n = 1; n <= 12; ++n) {
         cluster.submit(n % 9, cluster.make_job(n, JobKind::array, 4));
@@ -166,7 +166,7 @@
     // One that takes the old one out and its new one in; others may share it.
     EXPECT_LE(epoch_of(cluster) - before, 2U * ends);
     for (const auto& [name, m] : cluster.machines) {
-        EXPECT_TRUE(m.deleted || m.session == 1) << name;
+        EXPECT_TRUE(m.deleted || m.agent_epoch == 1) << name;
     }
     cluster.run_for(10);
     for (int n = 1; n <= 12; ++n) {
@@ -175,7 +175,7 @@
 }
 
 TEST_F(ThreeControllerOverloadTest, TheBusiestEndsEverySecondAndUsersAreStillServed) {
-    begin(3);
+    start_cluster(3);
     int accepted = 0;
     for (int k = 0; k < 30; ++k) {
         cluster.kill(0);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -9,7 +9,7 @@
 struct ThreeControllerPlacementTest : ThreeControllerTest {};
 
 TEST_F(ThreeControllerPlacementTest, SpreadTogetherAndZoneAreKept) {
-    begin(3);
+    start_cluster(3);
     auto spread = cluster.make_job(1, JobKind::service, 5);
     spread.spread = true;
     auto together = cluster.make_job(2, JobKind::array, 5);
@@ -28,7 +28,7 @@
 }
 
 TEST_F(PlacementTest, OnlyJobsThatAllowItRunOnSpotMachines) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a", true);
     auto strict = cluster.make_job(1, JobKind::service);
@@ -42,7 +42,7 @@
 }
 
 TEST_F(PlacementTest, AMachineMarkedForReturnGetsNothingNew) {
-    begin();
+    start_cluster();
     cluster.add_machine("vm-500000", "a");
     ASSERT_TRUE(cluster.run_until(
         [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500000"); }, 20));
@@ -56,7 +56,7 @@
 }
 
 TEST_F(PlacementTest, AMachineThatFailsEveryTaskIsSetAsideAndReturned) {
-    begin();
+    start_cluster();
     cluster.add_machine("vm-000000", "a").fails_tasks = true;
     ASSERT_TRUE(cluster.run_until(
         [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-000000"); }, 20));
@@ -73,7 +73,7 @@
 TEST_F(ThreeControllerPlacementTest, AJobWithAMistakeCostsFewStartsAndNoMachine) {
     // Found on the days of the operations: eight tasks of one such job that failed on a machine
     // counted as eight errors, and the machine was returned; each controller learned alone.
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     // Work that keeps all three in use, and room beside it.
     for (int i = 0; i < 3; ++i) {
@@ -102,13 +102,13 @@
     cluster.run_for(60);
     EXPECT_LE(before, 60);
     EXPECT_LE(starts - before, 6);
-    EXPECT_EQ(cluster.cloud.rentals, 0);
+    EXPECT_EQ(cluster.cloud.launches, 0);
     EXPECT_EQ(cluster.cloud.machine_count(), 3);
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000002")).state, "cancelled");
 }
 
 TEST_F(PlacementTest, ASpotMachineUnderNoticeGetsNothingNew) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a", true).notice_s = 20;
     auto job = cluster.make_job(1, JobKind::service);
@@ -119,7 +119,7 @@
 }
 
 TEST_F(PlacementTest, WhatCanSaveOnASpotMachineDoesSoBeforeItGoes) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 300;
     auto& spot = cluster.add_machine("vm-500000", "a", true);
--- a/tests/priority_test.cpp
+++ b/tests/priority_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_F(PriorityTest, HigherPriorityStopsTheNewestLowerWorkAndNothingElse) {
     cluster.workers.task_run_s = 100;
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 7));
@@ -30,7 +30,7 @@
 TEST_F(PriorityTest, IdleWorkGetsOnlyTheRoomThatOthersLeave) {
     // Found on a visitors' day: a guest team's sweep without GPUs filled the machines that the
     // home team's gangs needed whole, and was rented hundreds of ordinary ones.
-    begin();
+    start_cluster();
     cluster.workers.task_run_s = 200;
     cluster.cloud.capacity = 1;
     cluster.add_machine("vm-500000", "a");
@@ -54,7 +54,7 @@
 
 TEST_F(PriorityTest, IdleWorkGoesAfterOthersWhateverItsTeamHas) {
     cluster.settings.teams.push_back({"guest", {}, {}});
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 300;
     cluster.add_machine("vm-500000", "a", true);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -112,9 +112,11 @@
 struct Program : ::testing::Test {
     void SetUp() override {
         path = ::testing::TempDir() + "cranemoor-" + std::to_string(::getpid()) + ".toml";
-        std::ofstream(path) << "node_name = \"n0\"\nzone = \"a\"\nserve_on = \"" << local(front)
-                            << "\"\nback = \"" << local(free_port()) << "\"\n[services]\ncloud = \""
-                            << local(cloud_port) << "\"\nstate = \"" << local(state_port)
+        std::ofstream(path) << "node_name = \"n0\"\nzone = \"a\"\nserve_on = \""
+                            << loopback_address(front) << "\"\nback = \""
+                            << loopback_address(free_port()) << "\"\n[services]\ncloud = \""
+                            << loopback_address(cloud_port) << "\"\nstate = \""
+                            << loopback_address(state_port)
                             << "\"\n[settings]\nzones = [\"a\"]\n[[settings.teams]]\nname = \"t\"\n"
                                "[settings.workers]\nreport_s = 1.0\nlease_s = 24.0\n"
                                "gang_wait_s = 30.0\ngang_peer_s = 4.0\ncancel_s = 44.0\n"
@@ -152,7 +154,7 @@
                                    const std::function<bool(const HttpMessage&)>& good,
                                    int tries = 200) {
         std::optional<HttpMessage> result;
-        io::HttpClient client(loop, local(front), 1, 1 << 20);
+        io::HttpClient client(loop, loopback_address(front), 1, 1 << 20);
         io::Timer again(loop,
                         [&] { send(client, method, target, body, good, tries, result, again); });
         again.start(0);
@@ -191,23 +193,24 @@
 }
 
 TEST_F(Program, TakesAJobFromSubmissionToDone) {
-    StateStandIn state(loop, local(state_port));
-    io::HttpServer cloud(loop, local(cloud_port), 16, [&](std::uint64_t r, HttpMessage&& m) {
-        Json body = m.target == "/flavors" ? Json{{"breeds",
-                                                   {{{"label", "g"},
-                                                     {"cpus", 8},
-                                                     {"gpus", 0},
-                                                     {"mem_gb", 64},
-                                                     {"local_gb", 100},
-                                                     {"fetch_gb_per_s", 1.0},
-                                                     {"rate", 1.0},
-                                                     {"spot_price", 0.3},
-                                                     {"ready_s", 5},
-                                                     {"marshes", {"a"}}}}}}
-                    : m.method == "GET"    ? Json{{"roosts", Json::array()}, {"has_next", false}}
-                                           : Json{{"roosts", Json::array()}};
-        cloud.reply(r, 200, wire::encode_cbor(body));
-    });
+    StateStandIn state(loop, loopback_address(state_port));
+    io::HttpServer cloud(
+        loop, loopback_address(cloud_port), 16, [&](std::uint64_t r, HttpMessage&& m) {
+            Json body = m.target == "/flavors" ? Json{{"breeds",
+                                                       {{{"label", "g"},
+                                                         {"cpus", 8},
+                                                         {"gpus", 0},
+                                                         {"mem_gb", 64},
+                                                         {"local_gb", 100},
+                                                         {"fetch_gb_per_s", 1.0},
+                                                         {"rate", 1.0},
+                                                         {"spot_price", 0.3},
+                                                         {"ready_s", 5},
+                                                         {"marshes", {"a"}}}}}}
+                        : m.method == "GET" ? Json{{"roosts", Json::array()}, {"has_next", false}}
+                                            : Json{{"roosts", Json::array()}};
+            cloud.reply(r, 200, wire::encode_cbor(body));
+        });
     child = start({"--config", path});
     ASSERT_GT(child, 0);
     auto is = [](int status) {
@@ -228,7 +231,7 @@
     EXPECT_TRUE(ask("DELETE", "/work", "", is(405), 1));
 
     // A worker of ours: reports until it is told to start the task, then says it is done.
-    core::Heartbeat report{"vm-1", local(1), "g", "a", false, 1, 1, 0, std::nullopt, {}};
+    core::Heartbeat report{"vm-1", loopback_address(1), "g", "a", false, 1, 1, 0, std::nullopt, {}};
     std::optional<Json> start_call;
     for (int i = 0; i < 40 && !start_call; ++i) {
         auto answer =
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -9,7 +9,7 @@
 struct ThreeControllerQuotaTest : ThreeControllerTest {};
 
 TEST_F(ThreeControllerQuotaTest, ATeamsLimitHoldsAcrossMembersAndTakeOvers) {
-    begin(3);
+    start_cluster(3);
     for (int i = 0; i < 6; ++i) {
         auto job = cluster.make_job(i + 1, JobKind::service, 6);  // 36 GPUs wanted, 16 allowed
         job.team = "red";
@@ -43,13 +43,13 @@
 }
 
 TEST_F(QuotaTest, TeamsBelowTheirGuaranteeGoFirstTheFurthestFirst) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     auto used = cluster.make_job(1, JobKind::service, 4);  // blue has half of its 8
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, used);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 4; }, 30));
-    cluster.machines["vm-500000"].next_report = cluster.now() + 3;
+    cluster.machines["vm-500000"].next_heartbeat_at_s = cluster.now() + 3;
     auto blue = cluster.make_job(2, JobKind::service, 4);
     blue.priority = Priority::production;
     auto red = cluster.make_job(3, JobKind::service, 4);
@@ -66,7 +66,7 @@
 
 TEST_F(QuotaTest, ATeamBelowItsGuaranteeGetsItAfterTheTimeout) {
     cluster.workers.task_run_s = 200;
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -10,7 +10,7 @@
 struct ThreeControllerReconciliationTest : ThreeControllerTest {};
 
 TEST_F(ReconciliationTest, AHangingMachineIsReleasedBeforeItsTaskRunsElsewhere) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
     std::string first = cluster.machines_running("req-000001")[0];
@@ -20,7 +20,7 @@
 }
 
 TEST_F(ReconciliationTest, WhileTheCloudIsDownASilentMachinesTaskWaits) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
     std::string first = cluster.machines_running("req-000001")[0];
@@ -39,26 +39,26 @@
 }
 
 TEST_F(ReconciliationTest, ALaterSessionProvesThatTheTasksAreGone) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 30));
     FakeWorker& m = cluster.machines[cluster.machines_running("req-000001")[0]];
     m.tasks.clear();
-    m.session++;
+    m.agent_epoch++;
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 20));
 }
 
 TEST_F(ReconciliationTest, ADirectAnswerWithoutTheTaskIsNoProofWhileItsStartMayBeInFlight) {
-    begin();
+    start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
-    auto token = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1)).token;
-    auto reply = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 2));
+    auto token = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1)).token;
+    auto reply = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 2));
     ASSERT_EQ(reply.commands.size(), 1U);
     // Cancelled while the start is under way; only the next report settles it.
     cluster.wait_for_reply(cluster.cancel(0, "req-000001"));
     cluster.run_for(1);
     EXPECT_NE(cluster.store.find("c/b/req-000001/0"), nullptr);
-    auto late = bare_heartbeat("vm-100000", "a", token, 9);
+    auto late = heartbeat_without_tasks("vm-100000", "a", token, 9);
     late.tasks.push_back({{"req-000001", 0},
                           reply.commands[0].attempt,
                           TaskState::running,
@@ -67,31 +67,33 @@
     auto stop = cluster.send_heartbeat(0, late);
     ASSERT_EQ(stop.commands.size(), 1U);
     EXPECT_EQ(stop.commands[0].kind, Command::Kind::stop);
-    cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 10));
+    cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 10));
     EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 5));
 }
 
 TEST_F(ThreeControllerReconciliationTest, AProofThatCouldNotBeWrittenDiesWithTheOwnership) {
     // Found by drawn faults: a task ran twice, since its former owner wrote "not started"
     // after the next owner had started the same claim.
-    begin(3);
+    start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.submit_and_wait(1, cluster.make_job(1, JobKind::service));
-    auto token = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 0, 1)).token;
-    auto start = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", token, 2));
+    auto token = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1)).token;
+    auto start = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 2));
     ASSERT_EQ(start.commands.size(), 1U);  // and its response is lost
     cluster.faults.nodes_refused_by_store.insert(0);
-    auto notice = bare_heartbeat("vm-100000", "a", token, 3);
+    auto notice = heartbeat_without_tasks("vm-100000", "a", token, 3);
     notice.notice_s = 20;
     cluster.send_heartbeat(0, notice);
     ASSERT_TRUE(cluster.run_until(
         [&] { return !cluster.controller(1).context().jobs.epoch()->find("n0"); }, 10));
     cluster.run_for(0.2);
     int owner =
-        cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", token, 4)).status == 200 ? 1 : 2;
+        cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", token, 4)).status == 200
+            ? 1
+            : 2;
     Token next = cluster.controller(owner).context().fencing_token;
-    cluster.send_heartbeat(owner, bare_heartbeat("vm-100000", "a", token, 5));
-    auto again = cluster.send_heartbeat(owner, bare_heartbeat("vm-100000", "a", next, 6));
+    cluster.send_heartbeat(owner, heartbeat_without_tasks("vm-100000", "a", token, 5));
+    auto again = cluster.send_heartbeat(owner, heartbeat_without_tasks("vm-100000", "a", next, 6));
     ASSERT_EQ(again.commands.size(), 1U);
     EXPECT_EQ(again.commands[0].attempt, start.commands[0].attempt);
     cluster.faults.nodes_refused_by_store.clear();
@@ -103,7 +105,7 @@
 }
 
 TEST_F(ReconciliationTest, ForgetFollowsTheDurableRecord) {
-    begin();
+    start_cluster();
     bool checked = false;
     cluster.workers.on_command = [&](const std::string&, const Command& c) {
         if (c.kind == Command::Kind::forget) {
--- a/tests/record_format.hpp
+++ b/tests/record_format.hpp
@@ -1,4 +1,4 @@
-// Checks of the format of stored records.
+/// Checks of the format of stored records.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,59 +11,61 @@
 
 using namespace core;
 
-/// Expects every field that the version before reads without asking whether it is there: it ends if
-/// one is missing or of another type.
-inline void expect_readable_by_production(const std::string& key, const Json& v) {
-    SCOPED_TRACE(key + " " + v.dump());
+/// Expects every field that the previous version reads without checking that it exists; that
+/// version terminates if one is missing or has another type.
+inline void expect_readable_by_previous_version(const std::string& key, const Json& record) {
+    SCOPED_TRACE(key + " " + record.dump());
     std::string kind = key.substr(0, 4);
-    auto job = [](const Json& j) {
-        for (const char* f : {"uid", "class", "team", "image"}) {
-            EXPECT_TRUE(j.at(f).is_string()) << f;
+    auto expect_job = [](const Json& job) {
+        for (const char* field : {"uid", "class", "team", "image"}) {
+            EXPECT_TRUE(job.at(field).is_string()) << field;
         }
-        for (const char* f : {"kind", "priority", "tasks", "block_size"}) {
-            EXPECT_TRUE(j.at(f).is_number_integer()) << f;
+        for (const char* field : {"kind", "priority", "tasks", "block_size"}) {
+            EXPECT_TRUE(job.at(field).is_number_integer()) << field;
         }
-        for (const char* f :
+        for (const char* field :
              {"image_gb", "estimate_s", "checkpoint_s", "save_s", "submitted", "cancelled"}) {
-            EXPECT_TRUE(j.at(f).is_number()) << f;
+            EXPECT_TRUE(job.at(field).is_number()) << field;
         }
-        for (const char* f : {"together", "spread", "spot"}) {
-            EXPECT_TRUE(j.at(f).is_boolean()) << f;
+        for (const char* field : {"together", "spread", "spot"}) {
+            EXPECT_TRUE(job.at(field).is_boolean()) << field;
         }
-        EXPECT_EQ(j.at("each").size(), 3U);
+        EXPECT_EQ(job.at("each").size(), 3U);
     };
     if (key == "c/epoch") {
-        EXPECT_TRUE(v.at("number").is_number_unsigned());
-        EXPECT_TRUE(v.at("members").is_array());
+        EXPECT_TRUE(record.at("number").is_number_unsigned());
+        EXPECT_TRUE(record.at("members").is_array());
     } else if (kind == "c/m/") {
-        EXPECT_TRUE(v.at("name").is_string() && v.at("zone").is_string() &&
-                    v.at("boot").is_string() && v.at("id").is_number_unsigned());
+        EXPECT_TRUE(record.at("name").is_string() && record.at("zone").is_string() &&
+                    record.at("boot").is_string() && record.at("id").is_number_unsigned());
     } else if (kind == "c/j/") {
-        job(v);
+        expect_job(record);
     } else if (kind == "c/a/") {
-        for (const auto& each : v.at("jobs")) {
-            job(each);
+        for (const auto& job : record.at("jobs")) {
+            expect_job(job);
         }
     } else if (kind == "c/b/") {
-        EXPECT_TRUE(v.at("attempt").is_number_unsigned());
-        for (const auto& [task, p] : v.at("placed").items()) {
-            EXPECT_TRUE(p.at(0).is_string() && p.at(1).is_string() &&
-                        p.at(2).is_number_unsigned() && p.at(3).is_number_unsigned());
+        EXPECT_TRUE(record.at("attempt").is_number_unsigned());
+        for (const auto& [task, placement] : record.at("placed").items()) {
+            EXPECT_TRUE(placement.at(0).is_string() && placement.at(1).is_string() &&
+                        placement.at(2).is_number_unsigned() &&
+                        placement.at(3).is_number_unsigned());
         }
-        for (const auto& range : v.at("done")) {
+        for (const auto& range : record.at("done")) {
             EXPECT_TRUE(range.at(0).is_number_integer() && range.at(1).is_number_integer());
         }
-        if (v.contains("final")) {
-            EXPECT_TRUE(v.at("final").at("state").is_string());
-            EXPECT_TRUE(v.at("final").at("tasks").is_number_integer());
+        if (record.contains("final")) {
+            EXPECT_TRUE(record.at("final").at("state").is_string());
+            EXPECT_TRUE(record.at("final").at("tasks").is_number_integer());
         }
     } else if (kind == "c/q/") {
-        EXPECT_TRUE(v.at("held").is_object());
+        EXPECT_TRUE(record.at("held").is_object());
     } else if (kind == "c/x/") {
-        EXPECT_TRUE(v.at("why").is_string() && v.at("fence").is_boolean() &&
-                    v.at("machines").is_array() && v.at("gone").is_array());
+        EXPECT_TRUE(record.at("why").is_string() && record.at("fence").is_boolean() &&
+                    record.at("machines").is_array() && record.at("gone").is_array());
     } else {
-        // Ignored by production: nothing that it needs to know may be there alone.
+        // Ignored by the previous version: no data that it needs may be stored only in these
+        // records.
         EXPECT_TRUE(kind == "c/v/" || kind == "c/p/" || kind == "c/l/");
     }
 }
--- a/tests/samples.hpp
+++ b/tests/samples.hpp
@@ -1,10 +1,11 @@
-// Whole and valid input that several tests damage or leave parts out of.
+/// Valid sample input from which tests derive damaged or incomplete input.
 #pragma once
 
 #include <string>
 
 namespace cranemoor::test {
 
+/// A valid settings file.
 inline const std::string sample_settings = R"(
 node_name = "n0"
 zone = "a"
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-// The cluster's time, nodes and queries; simulated_cluster_messages.cpp has what is sent.
+// The cluster's time, nodes and queries; the messages are in simulated_cluster_messages.cpp.
 #include "simulated_cluster.hpp"
 
 #include <fmt/format.h>
@@ -8,11 +8,11 @@
 namespace cranemoor::test {
 
 namespace {
-// Seconds between two ticks of every controller and worker.
+// Interval between two ticks of the controllers and workers.
 constexpr double tick_s = 0.05;
 
-// Settings of a small site with short intervals.
-Settings small_site() {
+// Settings of a small cluster with short intervals.
+Settings small_cluster_settings() {
     Settings settings;
     settings.zones = {"a", "b", "c"};
     settings.clock_off_s = 0.25;
@@ -32,7 +32,7 @@
 }  // namespace
 
 SimulatedCluster::SimulatedCluster(int nodes, unsigned seed)
-    : settings(small_site()),
+    : settings(small_cluster_settings()),
       simulation(seed),
       invariants(simulation, settings, machines, ledger_),
       store(simulation, settings, invariants),
@@ -57,21 +57,21 @@
 }
 
 void SimulatedCluster::start(int node) {
-    auto zone_of = [&](int i) {
-        return settings.zones[static_cast<std::size_t>(i) % settings.zones.size()];
+    auto zone_of = [&](int index) {
+        return settings.zones[static_cast<std::size_t>(index) % settings.zones.size()];
     };
-    Settings own = settings;
-    own.name = node_name(node);
-    own.zone = zone_of(node);
+    Settings node_settings = settings;
+    node_settings.name = node_name(node);
+    node_settings.zone = zone_of(node);
     for (int peer = 0; peer < node_count(); ++peer) {
         if (peer != node) {
-            own.peers.push_back({node_name(peer), zone_of(peer), ""});
+            node_settings.peers.push_back({node_name(peer), zone_of(peer), ""});
         }
     }
     Node& started = at(node);
     started.generation++;
     std::string boot = fmt::format("boot{}-{}", node, started.generation);
-    started.controller = std::make_unique<Controller>(own, tunables, boot);
+    started.controller = std::make_unique<Controller>(node_settings, tunables, boot);
     started.controller->start(time());
     perform_actions(node);
 }
@@ -80,7 +80,7 @@
     Node& killed = at(node);
     killed.controller.reset();
     killed.is_paused = false;
-    killed.held_inputs.clear();
+    killed.deferred_inputs.clear();
     std::erase_if(watches_, [&](const Watch& watch) { return watch.node == node; });
 }
 
@@ -91,7 +91,7 @@
 void SimulatedCluster::resume(int node) {
     Node& resumed = at(node);
     resumed.is_paused = false;
-    for (const auto& input : std::exchange(resumed.held_inputs, {})) {
+    for (const auto& input : std::exchange(resumed.deferred_inputs, {})) {
         deliver(node, input);
     }
 }
@@ -102,7 +102,7 @@
         return;
     }
     if (target.is_paused) {
-        target.held_inputs.push_back(input);
+        target.deferred_inputs.push_back(input);
         return;
     }
     input(*target.controller);
@@ -191,11 +191,11 @@
     run_until([] { return false; }, seconds);
 }
 
-bool SimulatedCluster::run_until(const std::function<bool()>& holds, double seconds) {
+bool SimulatedCluster::run_until(const std::function<bool()>& condition, double seconds) {
     double end = now() + seconds;
     double next_tick = now() + tick_s;
     while (now() < end) {
-        if (holds()) {
+        if (condition()) {
             return true;
         }
         if (simulation.run_next_event(next_tick)) {
@@ -206,7 +206,7 @@
             tick();
         }
     }
-    return holds();
+    return condition();
 }
 
 }  // namespace cranemoor::test
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -1,4 +1,4 @@
-// What controllers and workers of a simulated cluster send, with its delays, losses and replies.
+// Messages of the controllers and workers of a simulated cluster, with delays, losses and replies.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -11,22 +11,23 @@
 namespace cranemoor::test {
 
 namespace {
-// Seconds that the store keeps a watch open without news.
-constexpr double watch_s = 8;
-// Seconds after which a controller is told that a call was not answered.
+// Time after which the key-value store answers a watch without events.
+constexpr double watch_timeout_s = 8;
+// Time after which a call of a controller times out.
 constexpr double call_timeout_s = 2;
-// The same for a call to a peer.
+// Time after which a call to a peer times out.
 constexpr double peer_timeout_s = 1;
-// Seconds after which a worker tries the next node: one that does not answer, and one out of reach.
+// Time after which a worker tries the next node: if a node does not answer, and if it cannot be
+// reached.
 constexpr double heartbeat_timeout_s = 4;
 constexpr double unreachable_timeout_s = 1;
-// Seconds until a worker tries again after a reply that names another node, and after others.
-constexpr double redirect_pause_s = 0.2;
-constexpr double retry_pause_s = 1;
-// Seconds within which a worker sends the next heartbeat after it has seen a new fencing token.
-constexpr double new_token_heartbeat_s = 0.5;
-// Seconds that the cloud takes at least for a call.
-constexpr double cloud_call_s = 0.1;
+// Delay of a worker's next heartbeat after a reply that names another node, and after a failure.
+constexpr double redirect_delay_s = 0.2;
+constexpr double retry_delay_s = 1;
+// Time within which a worker sends the next heartbeat after it receives a new fencing token.
+constexpr double new_token_heartbeat_delay_max_s = 0.5;
+// Minimum duration of a call to the cloud.
+constexpr double cloud_call_min_s = 0.1;
 constexpr int http_ok = 200;
 constexpr int http_misdirected = 421;
 
@@ -78,7 +79,7 @@
 void SimulatedCluster::send(int node, const StoreCall& call) {
     int generation = at(node).generation;
     if (call.kind == StoreCall::Kind::watch) {
-        watches_.push_back({node, generation, call.id, call.since, now() + watch_s});
+        watches_.push_back({node, generation, call.id, call.since, now() + watch_timeout_s});
         return;
     }
     bool is_txn = call.kind == StoreCall::Kind::txn;
@@ -91,12 +92,12 @@
                    reply_s >= constants::state_timeout_s;
     double wait_s = hold_s;
     if (hold_s <= 0 && is_late) {
-        wait_s = simulation.uniform(2, 12);  // late ones follow newer ones of the same node
+        wait_s = simulation.uniform(2, 12);  // executed after later ones of the same node
     } else if (hold_s <= 0) {
         wait_s = simulation.message_delay();
         wait_s += is_txn && faults.transaction_delay_s ? faults.transaction_delay_s(call.txn) : 0;
     }
-    simulation.after(wait_s, [=, this] {
+    simulation.schedule_after(wait_s, [=, this] {
         StoreReply reply;
         bool is_refused =
             faults.store_down || faults.nodes_refused_by_store.contains(node) ||
@@ -108,12 +109,12 @@
         }
         if (!is_lost) {
             double delay_s = faults.store_reply_delay_s + reply_s + simulation.message_delay();
-            simulation.after(delay_s,
-                             [=, this] { reply_to_store_call(node, generation, call.id, reply); });
+            simulation.schedule_after(
+                delay_s, [=, this] { reply_to_store_call(node, generation, call.id, reply); });
         }
     });
     if (is_lost) {
-        simulation.after(call_timeout_s, [=, this] {
+        simulation.schedule_after(call_timeout_s, [=, this] {
             reply_to_store_call(node, generation, call.id, StoreReply{});
         });
     }
@@ -134,27 +135,27 @@
     }
 }
 
-// Answers a watch that has news or whose time has run out, and keeps any other open.
+// Answers a watch that has events or has reached its timeout, and keeps any other open.
 void SimulatedCluster::serve_watch(Watch watch) {
     bool is_refused = faults.nodes_refused_by_store.contains(watch.node);
     StoreReply reply;
     if (watch.since < store.compacted_revision() && !is_refused) {
         reply.status = StoreReply::Status::compacted;
-        simulation.after(simulation.message_delay(), [=, this] {
+        simulation.schedule_after(simulation.message_delay(), [=, this] {
             reply_to_store_call(watch.node, watch.generation, watch.id, reply);
         });
         return;
     }
-    watch.is_dead = watch.is_dead || is_refused;
-    std::vector<Event> news = store.changes_since(watch.since);
-    if (is_refused || (now() < watch.ends_at && (news.empty() || watch.is_dead))) {
+    watch.was_refused = watch.was_refused || is_refused;
+    std::vector<Event> events = store.changes_since(watch.since);
+    if (is_refused || (now() < watch.ends_at_s && (events.empty() || watch.was_refused))) {
         watches_.push_back(watch);
         return;
     }
     reply.status = StoreReply::Status::ok;
     reply.revision = store.revision();
-    reply.events = std::move(news);
-    simulation.after(faults.store_reply_delay_s + simulation.message_delay(), [=, this] {
+    reply.events = std::move(events);
+    simulation.schedule_after(faults.store_reply_delay_s + simulation.message_delay(), [=, this] {
         reply_to_store_call(watch.node, watch.generation, watch.id, reply);
     });
 }
@@ -163,7 +164,7 @@
 
 void SimulatedCluster::send(int node, const CloudCall& call) {
     int generation = at(node).generation;
-    simulation.after(cloud_call_s + simulation.message_delay(), [=, this] {
+    simulation.schedule_after(cloud_call_min_s + simulation.message_delay(), [=, this] {
         CloudReply reply;
         if (!faults.cloud_down) {
             reply = cloud.execute(call);
@@ -171,8 +172,8 @@
         if (simulation.chance(faults.lost_reply_probability)) {
             reply = {};
         }
-        double wait_s = call.kind == CloudCall::Kind::launch ? cloud.rental_reply_delay_s : 0;
-        simulation.after(wait_s + simulation.message_delay(), [=, this] {
+        double wait_s = call.kind == CloudCall::Kind::launch ? cloud.launch_reply_delay_s : 0;
+        simulation.schedule_after(wait_s + simulation.message_delay(), [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
                 controller.cloud_reply(time(), call.id, reply);
             });
@@ -184,15 +185,16 @@
 
 bool SimulatedCluster::reaches_worker(int node, const FakeWorker& worker) const {
     return !worker.deleted && !worker.is_unreachable && !worker.loses_replies &&
-           now() >= worker.up_at && (worker.only_node < 0 || worker.only_node == node) &&
+           now() >= worker.booted_at_s && (worker.only_node < 0 || worker.only_node == node) &&
            !faults.nodes_cut_from_workers.contains(node);
 }
 
-// False if the fencing token or the session is not the worker's.
+// False if the fencing token is lower than the worker's or the agent epoch is 0 or not the
+// worker's.
 bool SimulatedCluster::execute_direct_call(const WorkerCommandCall& call) {
     FakeWorker& worker = machines[call.address];
     if (call.agent_epoch == 0 || call.token < worker.fencing_token ||
-        call.agent_epoch != worker.session) {
+        call.agent_epoch != worker.agent_epoch) {
         return false;
     }
     worker.fencing_token = call.token;
@@ -204,7 +206,7 @@
 
 void SimulatedCluster::send(int node, const WorkerCommandCall& call) {
     int generation = at(node).generation;
-    simulation.after(simulation.message_delay(), [=, this] {
+    simulation.schedule_after(simulation.message_delay(), [=, this] {
         WorkerCommandReply reply;
         auto it = machines.find(call.address);
         bool is_connected = it != machines.end() && reaches_worker(node, it->second);
@@ -214,10 +216,10 @@
             reply.executed = execute_direct_call(call);
             reply.heartbeat = FakeWorkers::make_heartbeat(it->second);
         } else if (is_connected) {
-            it->second.held_commands.emplace_back([=, this] { execute_direct_call(call); });
+            it->second.deferred_commands.emplace_back([=, this] { execute_direct_call(call); });
         }
         double wait_s = is_answered ? simulation.message_delay() : call_timeout_s;
-        simulation.after(wait_s, [=, this] {
+        simulation.schedule_after(wait_s, [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
                 controller.worker_command_reply(time(), call.id, reply);
             });
@@ -232,7 +234,7 @@
     int peer = node_of(call.peer);
     bool is_cut = faults.cut_peer_links.contains({std::min(node, peer), std::max(node, peer)});
     if (is_cut || !is_alive(peer)) {
-        simulation.after(peer_timeout_s, [=, this] {
+        simulation.schedule_after(peer_timeout_s, [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
                 controller.peer_reply(time(), call.id, false, std::nullopt);
             });
@@ -240,7 +242,7 @@
         return;
     }
     int peer_generation = at(peer).generation;
-    simulation.after(simulation.message_delay(), [=, this] {
+    simulation.schedule_after(simulation.message_delay(), [=, this] {
         deliver(peer, peer_generation, [=, this](Controller& controller) {
             PeerCall message = call;
             if (faults.nodes_without_read_leases.contains(node)) {
@@ -254,18 +256,18 @@
     });
 }
 
-// A worker's heartbeat that came to one node and is handled by another.
+// Passes a worker's heartbeat from the node that received it to the one that handles it.
 void SimulatedCluster::relay_heartbeat(int node, int generation, const PeerCall& call,
-                                       Controller& relaying) {
+                                       Controller& receiver) {
     std::uint64_t request = simulation.new_request_id();
     worker_reply_handlers_[request] = [=, this](const WorkerReply& reply) {
-        simulation.after(simulation.message_delay(), [=, this] {
+        simulation.schedule_after(simulation.message_delay(), [=, this] {
             deliver(node, generation, [=, this](Controller& controller) {
                 controller.peer_reply(time(), call.id, true, reply);
             });
         });
     };
-    relaying.report(time(), request, *call.relay, true);
+    receiver.report(time(), request, *call.relay, true);
 }
 
 // --- heartbeats of workers
@@ -280,10 +282,10 @@
 
 void SimulatedCluster::send_heartbeat(FakeWorker& worker) {
     worker.in_flight = true;
-    worker.sent_at = now();
-    worker.next_report = now() + settings.report_s;
+    worker.sent_at_s = now();
+    worker.next_heartbeat_at_s = now() + settings.report_s;
     Heartbeat heartbeat = FakeWorkers::make_heartbeat(worker);
-    int node = static_cast<int>(worker.target);
+    int node = static_cast<int>(worker.target_node);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
                    (worker.only_node >= 0 && worker.only_node != node) ||
                    faults.nodes_cut_from_workers.contains(node) || !is_alive(node);
@@ -296,22 +298,22 @@
     if (!is_lost) {
         deliver_heartbeat(worker, heartbeat);
     }
-    time_out_heartbeat(worker.info.name, worker.sent_at,
+    time_out_heartbeat(worker.info.name, worker.sent_at_s,
                        is_lost ? unreachable_timeout_s : heartbeat_timeout_s);
 }
 
 void SimulatedCluster::deliver_heartbeat(const FakeWorker& worker, const Heartbeat& heartbeat) {
-    int node = static_cast<int>(worker.target);
+    int node = static_cast<int>(worker.target_node);
     int generation = at(node).generation;
     std::string machine = worker.info.name;
-    std::uint64_t session = worker.session;
-    double sent_at = worker.sent_at;
-    simulation.after(simulation.message_delay(), [=, this] {
+    std::uint64_t agent_epoch = worker.agent_epoch;
+    double sent_at_s = worker.sent_at_s;
+    simulation.schedule_after(simulation.message_delay(), [=, this] {
         deliver(node, generation, [=, this](Controller& controller) {
             std::uint64_t request = simulation.new_request_id();
             worker_reply_handlers_[request] = [=, this](const WorkerReply& reply) {
-                simulation.after(simulation.message_delay(), [=, this] {
-                    receive_worker_reply(machine, session, sent_at, node, reply);
+                simulation.schedule_after(simulation.message_delay(), [=, this] {
+                    receive_worker_reply(machine, agent_epoch, sent_at_s, node, reply);
                 });
             };
             controller.report(time(), request, heartbeat, false);
@@ -319,24 +321,24 @@
     });
 }
 
-// After a heartbeat without a reply the worker turns to the next node.
-void SimulatedCluster::time_out_heartbeat(const std::string& machine, double sent_at,
+// If a heartbeat gets no reply, the worker sends the next one to the next node.
+void SimulatedCluster::time_out_heartbeat(const std::string& machine, double sent_at_s,
                                           double timeout_s) {
-    simulation.after(timeout_s, [=, this] {
+    simulation.schedule_after(timeout_s, [=, this] {
         auto it = machines.find(machine);
-        if (it != machines.end() && it->second.in_flight && it->second.sent_at == sent_at) {
+        if (it != machines.end() && it->second.in_flight && it->second.sent_at_s == sent_at_s) {
             it->second.in_flight = false;
-            it->second.target = (it->second.target + 1) % nodes_.size();
-            it->second.next_report = now() + retry_pause_s;
+            it->second.target_node = (it->second.target_node + 1) % nodes_.size();
+            it->second.next_heartbeat_at_s = now() + retry_delay_s;
         }
     });
 }
 
-// A copy of it comes from 2 s to well over a lease later, to whatever process runs there then.
+// Delivers a copy 2 s to 1.5 leases later, to the process that runs on the node by then.
 void SimulatedCluster::duplicate_heartbeat(int node, const Heartbeat& heartbeat) {
-    simulation.after(simulation.uniform(2, 1.5 * settings.lease_s), [=, this] {
+    simulation.schedule_after(simulation.uniform(2, 1.5 * settings.lease_s), [=, this] {
         deliver(node, [=, this](Controller& controller) {
-            // Nobody waits for its reply.
+            // Its reply is discarded.
             controller.report(time(), simulation.new_request_id(), heartbeat, false);
         });
     });
@@ -346,7 +348,7 @@
     for (const auto& heartbeat : std::exchange(recorded_heartbeats_, {})) {
         for (int node = 0; node < node_count(); ++node) {
             deliver(node, [=, this](Controller& controller) {
-                // Nobody waits for its reply.
+                // Its reply is discarded.
                 controller.report(time(), simulation.new_request_id(), heartbeat, false);
             });
         }
@@ -362,10 +364,10 @@
     }
 }
 
-void SimulatedCluster::receive_worker_reply(const std::string& machine, std::uint64_t session,
-                                            double sent_at, int node, const WorkerReply& reply) {
+void SimulatedCluster::receive_worker_reply(const std::string& machine, std::uint64_t agent_epoch,
+                                            double sent_at_s, int node, const WorkerReply& reply) {
     auto it = machines.find(machine);
-    if (it == machines.end() || it->second.deleted || it->second.sent_at != sent_at ||
+    if (it == machines.end() || it->second.deleted || it->second.sent_at_s != sent_at_s ||
         !it->second.in_flight || it->second.is_unreachable || it->second.loses_replies ||
         it->second.loses_heartbeats) {
         return;
@@ -376,14 +378,14 @@
         redirect_worker(worker, node, reply);
         return;
     }
-    if (reply.token < worker.fencing_token || session != worker.session || worker.is_hung) {
+    if (reply.token < worker.fencing_token || agent_epoch != worker.agent_epoch || worker.is_hung) {
         return;
     }
     if (reply.token > worker.fencing_token) {
         worker.fencing_token = reply.token;
-        worker.send_heartbeat_by(sent_at + new_token_heartbeat_s);
+        worker.send_heartbeat_by(sent_at_s + new_token_heartbeat_delay_max_s);
     }
-    worker.lease_from = sent_at;
+    worker.lease_start_s = sent_at_s;
     for (const auto& command : reply.commands) {
         workers.execute(worker, command);
     }
@@ -391,11 +393,11 @@
 
 void SimulatedCluster::redirect_worker(FakeWorker& worker, int node,
                                        const WorkerReply& reply) const {
-    bool names_another =
+    bool names_other_node =
         reply.status == http_misdirected && !reply.home.empty() && reply.home != node_name(node);
-    int next = names_another ? node_of(reply.home) : (node + 1) % node_count();
-    worker.target = static_cast<std::size_t>(next);
-    worker.next_report = now() + (names_another ? redirect_pause_s : retry_pause_s);
+    int next_node = names_other_node ? node_of(reply.home) : (node + 1) % node_count();
+    worker.target_node = static_cast<std::size_t>(next_node);
+    worker.next_heartbeat_at_s = now() + (names_other_node ? redirect_delay_s : retry_delay_s);
 }
 
 WorkerReply SimulatedCluster::send_heartbeat(int node, const Heartbeat& heartbeat) {
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -6,7 +6,7 @@
 namespace cranemoor::test {
 
 namespace {
-// Wall clock of the simulation's start, in s since 1970: any time that is clearly not 0.
+// Wall clock time of the simulation's start, in s since 1970: arbitrary, but clearly not 0.
 constexpr double wall_clock_start_s = 1.7e9;
 }  // namespace
 
@@ -14,7 +14,7 @@
     return {now_, wall_clock_start_s + now_};
 }
 
-void Simulation::after(double seconds, std::function<void()> event) {
+void Simulation::schedule_after(double seconds, std::function<void()> event) {
     queue_.push({now_ + seconds, ++last_order_, std::move(event)});
 }
 
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -1,5 +1,5 @@
-// Simulated time for tests: a clock, a queue of timed events and one seeded random source, so that
-// equal seeds give equal runs.
+/// Simulated time for tests: a clock, a queue of timed events and one seeded random source, so that
+/// equal seeds give equal runs.
 #pragma once
 
 #include <cstdint>
@@ -21,22 +21,23 @@
 
     /// Seconds since the start of the simulation.
     double now() const { return now_; }
-    /// The same moment on the monotonic and on the wall clock, as controllers are given it.
+    /// The current time on the monotonic and on the wall clock, as controllers receive it.
     Now time() const;
-    /// Schedules an event, `seconds` from now; events of one moment run in the order of scheduling.
-    void after(double seconds, std::function<void()> event);
+    /// Schedules an event `seconds` from now; events at the same time run in the order of
+    /// scheduling.
+    void schedule_after(double seconds, std::function<void()> event);
     /// Advances the clock to the next event up to `limit` and runs it; false if there is none.
     bool run_next_event(double limit);
-    /// Moves the clock to `time`, in s.
-    void advance_to(double time) { now_ = time; }
+    /// Sets the clock to `time_s`.
+    void advance_to(double time_s) { now_ = time_s; }
 
-    /// True with this probability; draws no random number if it is 0.
+    /// True with the given probability; draws no random number if that is 0.
     bool chance(double probability);
-    /// A uniformly drawn number between the two.
+    /// A random number, uniformly distributed from `low` to `high`.
     double uniform(double low, double high);
-    /// Seconds that the next message takes.
+    /// Draws the delay of a message, in s.
     double message_delay();
-    /// Probability that a message takes seconds instead of milliseconds.
+    /// Probability that the delay of a message is seconds instead of milliseconds.
     double slow_message_probability = 0;
 
     /// An id for a request of a user or a worker, unique in the cluster.
@@ -49,7 +50,7 @@
         double at;
         std::uint64_t order;
         std::function<void()> run;
-        // Inverted, since std::priority_queue has its greatest element on top.
+        // Inverted, since the top of std::priority_queue is its greatest element.
         bool operator<(const TimedEvent& other) const {
             return std::tie(at, order) > std::tie(other.at, other.order);
         }
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -29,7 +29,7 @@
     io::Loop loop;
     std::vector<std::string> order;
     core::Settings settings;
-    settings.state_address = local(free_port());
+    settings.state_address = loopback_address(free_port());
     settings.state_rps = 1000;
     settings.state_write_rps = 100;  // of which one controller uses sixty a second
     io::HttpServer server(loop, settings.state_address, 16, [&](std::uint64_t r, auto&& m) {
--- a/tests/submission_test.cpp
+++ b/tests/submission_test.cpp
@@ -9,7 +9,7 @@
 struct ThreeControllerSubmissionTest : ThreeControllerTest {};
 
 TEST_F(SubmissionTest, AnAcceptedArrayIsRentedForRunsAndIsDone) {
-    begin();
+    start_cluster();
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 3)).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
     cluster.run_for(1);
@@ -23,7 +23,7 @@
 }
 
 TEST_F(SubmissionTest, ARetryIsAnswered200WithTheCurrentStateAlsoAfterTheEnd) {
-    begin();
+    start_cluster();
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 200);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
@@ -33,7 +33,7 @@
 }
 
 TEST_F(SubmissionTest, WhatCanNeverRunIsRefusedWith422) {
-    begin();
+    start_cluster();
     auto bad_team = cluster.make_job(1);
     bad_team.team = "green";
     EXPECT_EQ(cluster.submit_and_wait(0, bad_team).status, 422);
@@ -53,7 +53,7 @@
     cluster.settings.state_txn_ops = 4;
     cluster.store.value_limit_kb = 2;
     cluster.store.transaction_operation_limit = 4;
-    begin();
+    start_cluster();
     auto gang =
         cluster.make_job(1, JobKind::gang, 126);  // three blocks of 42 and the quota's record
     EXPECT_EQ(cluster.submit_and_wait(0, gang).status, 201);
@@ -62,7 +62,7 @@
 }
 
 TEST_F(SubmissionTest, AKnownJobIsNeverToldThatItIsMalformedOrImpossible) {
-    begin();
+    start_cluster();
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
     auto changed = cluster.make_job(1);
     changed.team = "green";
@@ -77,7 +77,7 @@
 }
 
 TEST_F(SubmissionTest, AnUnknownJobIs404OnlyAfterAFreshRead) {
-    begin();
+    start_cluster();
     EXPECT_EQ(cluster.poll_and_wait(0, "req-000009").status, 404);
     cluster.faults.store_down = true;
     cluster.run_for(0.2);
@@ -87,7 +87,7 @@
 TEST_F(SubmissionTest, ARefusedReadCheckIsAnsweredWithTheNameThatWasAskedFor) {
     // Found by the address sanitizer: the answer copied the name out of the request that it had
     // just erased. A name as long as this one is in memory of its own.
-    begin();
+    start_cluster();
     const std::string uid = "req-000000000000000000000000000009";
     cluster.faults.nodes_refused_by_store = {0};
     std::vector<std::uint64_t> polls;
@@ -111,7 +111,7 @@
 }
 
 TEST_F(SubmissionTest, AnOutageOfTheStateServiceIsAnsweredAtOnceWith503) {
-    begin();
+    start_cluster();
     cluster.faults.store_down = true;
     cluster.run_for(2);
     double before = cluster.now();
@@ -120,7 +120,7 @@
 }
 
 TEST_F(ThreeControllerSubmissionTest, AnAcceptedJobOutlivesAllNodes) {
-    begin(3);
+    start_cluster(3);
     ASSERT_EQ(cluster.submit_and_wait(2, cluster.make_job(1)).status, 201);
     for (int i = 0; i < 3; ++i) {
         cluster.kill(i);
@@ -132,7 +132,7 @@
 }
 
 TEST_F(SubmissionTest, AHundredThousandTasksFitIntoRecordsOfTheAllowedSize) {
-    begin();
+    start_cluster();
     cluster.cloud.capacity = 2;
     auto big = cluster.make_job(1, JobKind::array, 100000);
     ASSERT_EQ(cluster.submit_and_wait(0, big).status, 201);
@@ -145,7 +145,7 @@
     // Found in the first minute of every large day: accepting and ending a small job cost four
     // writes beside its claim, and writes were what was short.
     cluster.tunables.final_states = 5;
-    begin(3);
+    start_cluster(3);
     std::vector<std::uint64_t> asked;
     for (int i = 1; i <= 20; ++i) {
         // One in the midst has several blocks, and a record of its own: the bench once found the
@@ -202,7 +202,7 @@
     // Guards against a second record of the same job: the write of one node is executed when the
     // job, accepted by another meanwhile, is over and its final state was moved.
     cluster.tunables.final_states = 0;
-    begin(3);
+    start_cluster(3);
     cluster.workers.task_run_s = 0.2;
     cluster.workers.image_fetch_s = 0.1;
     cluster.add_machine("vm-500000", "a");
@@ -232,7 +232,7 @@
 TEST_F(SubmissionTest, UsersWhoAskForWhatNobodySubmittedDoNotCrowdOutOthers) {
     // Guards against polls many times as often as usual: each unknown uid is a read.
     cluster.settings.state_rps = 50;
-    begin();
+    start_cluster();
     std::vector<std::uint64_t> asked;
     asked.reserve(200);
     for (int i = 0; i < 200; ++i) {
@@ -252,7 +252,7 @@
 }
 
 TEST_F(SubmissionTest, ASubmissionWhoseWriteMayYetBeExecutedIsNotAnswered201) {
-    begin();
+    start_cluster();
     cluster.faults.delayed_transaction_probability = 1;
     auto request = cluster.submit(0, cluster.make_job(1));
     auto reply = cluster.wait_for_reply(request);
