--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -44,25 +44,25 @@
 
 /// Jobs whose tasks take half of a machine each, and queries for attempts and owners.
 struct HalfMachineJobTest : ThreeZoneTest {
-    /// The uid of make_job(n).
-    static std::string job_uid(int n) { return fmt::format("req-{:06}", n); }
+    /// The uid of make_job(number).
+    static std::string job_uid(int number) { return fmt::format("req-{:06}", number); }
     /// Submits a job whose tasks take half of a machine each, and waits until all of them run.
-    void run_job(int n, JobKind kind, int tasks, const char* zone = nullptr) {
-        auto spec = cluster.make_job(n, kind, tasks);
+    void run_job(int number, JobKind kind, int tasks, const char* zone = nullptr) {
+        auto spec = cluster.make_job(number, kind, tasks);
         spec.each = {30, 4, 200};
         if (zone != nullptr) {
             spec.zone = zone;
         }
         ASSERT_EQ(cluster.submit_and_wait(1, spec).status, 201);
         ASSERT_TRUE(
-            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == tasks; }, 40));
+            cluster.run_until([&] { return cluster.running_tasks(job_uid(number)) == tasks; }, 40));
     }
     /// Number of attempts of a job's tasks over all machines, exited ones included.
-    int attempts_on_machines(int n) {
+    int attempts_on_machines(int number) {
         int count = 0;
         for (const auto& [name, worker] : cluster.machines) {
             for (const auto& [id, attempts] : worker.tasks) {
-                count += id.uid == job_uid(n) ? static_cast<int>(attempts.size()) : 0;
+                count += id.uid == job_uid(number) ? static_cast<int>(attempts.size()) : 0;
             }
         }
         return count;
--- a/tests/dependent_job_fixture.hpp
+++ b/tests/dependent_job_fixture.hpp
@@ -8,9 +8,9 @@
 
 namespace cranemoor::test {
 
-/// The uid of make_job(n).
-inline std::string job_uid(int n) {
-    return fmt::format("req-{:06}", n);
+/// The uid of make_job(number).
+inline std::string job_uid(int number) {
+    return fmt::format("req-{:06}", number);
 }
 
 /// Three controllers and jobs that start once the jobs that they depend on are done.
@@ -25,7 +25,7 @@
         return spec;
     }
     /// Whether the key-value store holds a final state of a job.
-    bool is_job_finished(int n) { return cluster.is_finished(job_uid(n)); }
+    bool is_job_finished(int number) { return cluster.is_finished(job_uid(number)); }
 };
 
 }  // namespace cranemoor::test
--- a/tests/fake_users.cpp
+++ b/tests/fake_users.cpp
@@ -59,7 +59,7 @@
         invariants_.violations.push_back(violation);
     }
     if (reply.state == "cancelled") {
-        ledger_.cancelled_at.try_emplace(reply.uid, simulation_.now());
+        ledger_.cancelled_at_s.try_emplace(reply.uid, simulation_.now());
     }
     invariants_.check_user_reply(reply);
     bool is_verifying_request = verifying_requests_.contains(reply.request);
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -97,12 +97,13 @@
 }
 
 bool InvariantChecker::is_past_cancel_deadline(const std::string& uid) const {
-    auto it = ledger_.cancelled_at.find(uid);
-    return it != ledger_.cancelled_at.end() && simulation_.now() > it->second + settings_.cancel_s;
+    auto it = ledger_.cancelled_at_s.find(uid);
+    return it != ledger_.cancelled_at_s.end() &&
+           simulation_.now() > it->second + settings_.cancel_s;
 }
 
 void InvariantChecker::check_cancelled_jobs() {
-    for (const auto& [uid, at] : ledger_.cancelled_at) {
+    for (const auto& [uid, cancelled_at_s] : ledger_.cancelled_at_s) {
         if (is_past_cancel_deadline(uid)) {
             check_cancelled_job(uid);
         }
--- a/tests/job_ledger.hpp
+++ b/tests/job_ledger.hpp
@@ -19,7 +19,7 @@
     /// Jobs that were submitted, by uid.
     std::map<std::string, JobSpec> specs;
     /// Time of the first reply to a user that reported the job as cancelled, in s, by uid.
-    std::map<std::string, double> cancelled_at;
+    std::map<std::string, double> cancelled_at_s;
     /// Jobs whose cancellation a user requested.
     std::set<std::string> cancel_requested;
     /// Indexes of the tasks that completed on a worker, by uid.
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -19,12 +19,12 @@
 }
 
 bool Simulation::run_next_event(double limit) {
-    if (queue_.empty() || queue_.top().at > limit) {
+    if (queue_.empty() || queue_.top().time_s > limit) {
         return false;
     }
     TimedEvent event = queue_.top();
     queue_.pop();
-    now_ = std::max(now_, event.at);
+    now_ = std::max(now_, event.time_s);
     event.run();
     return true;
 }
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -47,12 +47,12 @@
 
   private:
     struct TimedEvent {
-        double at;
+        double time_s;
         std::uint64_t order;
         std::function<void()> run;
         // Inverted, since the top of std::priority_queue is its greatest element.
         bool operator<(const TimedEvent& other) const {
-            return std::tie(at, order) > std::tie(other.at, other.order);
+            return std::tie(time_s, order) > std::tie(other.time_s, other.order);
         }
     };
 
