--- a/tests/dependent_job_test.cpp
+++ b/tests/dependent_job_test.cpp
@@ -42,8 +42,8 @@
 }
 
 TEST_F(DependentJobTest, FollowedJobsMustHaveBeenAccepted) {
-    cluster.tunables.final_states_max =
-        0;  // final states are moved at once, and are in no memory then
+    // Final states are moved at once, and are in no memory then.
+    cluster.tunables.final_states_max = 0;
     begin(3);
     cluster.workers.task_run_s = 1;
     EXPECT_EQ(cluster.submit_and_wait(0, after(1, {9})).status, 422);
