--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -76,10 +76,10 @@
 }
 
 void check(const core::Settings& settings, const core::Tunables& tunables) {
-    double longest = settings.report_s * core::constants::report_spread;
+    double longest = settings.heartbeat_interval_s * core::constants::report_spread;
     if (tunables.silence_s > 0 && tunables.silence_s <= longest) {
         throw Error("<silence-s> must be above " + std::to_string(longest) +
-                    ": workers that report every " + std::to_string(settings.report_s) +
+                    ": workers that report every " + std::to_string(settings.heartbeat_interval_s) +
                     " s may be quiet that long");
     }
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -94,15 +94,15 @@
 void read_addresses(const Reader& file, core::Settings& settings) {
     settings.name = file.text("node_name");
     settings.zone = file.text("zone");
-    settings.serve_on = file.text("serve_on");
-    settings.back = file.text("back");
+    settings.listen_address = file.text("serve_on");
+    settings.peer_listen_address = file.text("back");
     file.each("known", [&](const Reader& peer) {
         settings.peers.push_back(
             {peer.text("node_name"), peer.text("zone"), peer.text("endpoint")});
     });
     Reader services = file.table("services");
     settings.cloud_address = services.text("cloud");
-    settings.state_address = services.text("state");
+    settings.store_address = services.text("state");
 }
 
 core::Team read_team(const Reader& entry) {
@@ -127,33 +127,33 @@
 }
 
 void read_worker_timers(const Reader& workers, core::Settings& settings) {
-    settings.report_s = workers.number("report_s", 0.1);
+    settings.heartbeat_interval_s = workers.number("report_s", 0.1);
     settings.lease_s = workers.number("lease_s", 1);
-    settings.gang_wait_s = workers.number("gang_wait_s", 0);
-    settings.gang_peer_s = workers.number("gang_peer_s", 0);
-    settings.cancel_s = workers.number("cancel_s", 1);
+    settings.gang_start_timeout_s = workers.number("gang_wait_s", 0);
+    settings.gang_stop_window_s = workers.number("gang_peer_s", 0);
+    settings.cancel_deadline_s = workers.number("cancel_s", 1);
 }
 
 // The limits of the key-value store.
 void read_store_limits(const Reader& store, core::Settings& settings) {
     const double least_ops = core::constants::txn_ops_least;
-    settings.state_rps = store.number("rps", 1);
-    settings.state_write_rps = store.number("write_rps", 1);
-    settings.state_value_kb = store.number("value_kb", 1);
-    settings.state_value_kb_today = settings.state_value_kb;
-    settings.state_txn_ops = static_cast<int>(store.number("txn_ops", least_ops));
+    settings.store_requests_per_s = store.number("rps", 1);
+    settings.store_writes_per_s = store.number("write_rps", 1);
+    settings.store_value_kb_max = store.number("value_kb", 1);
+    settings.store_current_value_kb_max = settings.store_value_kb_max;
+    settings.store_txn_ops_max = static_cast<int>(store.number("txn_ops", least_ops));
     if (!store.has("next")) {
         return;
     }
     // Announced limits come without notice: kept to from the start, they surprise nobody.
     Reader next = store.table("next");
-    double write_rps = next.number("write_rps", 1, false, settings.state_write_rps);
-    double value_kb = next.number("value_kb", 1, false, settings.state_value_kb);
+    double write_rps = next.number("write_rps", 1, false, settings.store_writes_per_s);
+    double value_kb = next.number("value_kb", 1, false, settings.store_value_kb_max);
     auto txn_ops =
-        static_cast<int>(next.number("txn_ops", least_ops, false, settings.state_txn_ops));
-    settings.state_write_rps = std::min(settings.state_write_rps, write_rps);
-    settings.state_value_kb = std::min(settings.state_value_kb, value_kb);
-    settings.state_txn_ops = std::min(settings.state_txn_ops, txn_ops);
+        static_cast<int>(next.number("txn_ops", least_ops, false, settings.store_txn_ops_max));
+    settings.store_writes_per_s = std::min(settings.store_writes_per_s, write_rps);
+    settings.store_value_kb_max = std::min(settings.store_value_kb_max, value_kb);
+    settings.store_txn_ops_max = std::min(settings.store_txn_ops_max, txn_ops);
 }
 
 toml::table parse_toml(const std::string& text, const std::string& name) {
@@ -175,7 +175,7 @@
     read_addresses(file, settings);
     Reader platform = file.table("settings");
     settings.zones = platform.texts("zones");
-    settings.clock_off_s = platform.number("clock_off_ms", 0, false) / 1000;
+    settings.clock_error_max_s = platform.number("clock_off_ms", 0, false) / 1000;
     platform.each("teams",
                   [&](const Reader& entry) { settings.teams.push_back(read_team(entry)); });
     platform.each("objectives", [&](const Reader& entry) {
@@ -184,7 +184,7 @@
     read_worker_timers(platform.table("workers"), settings);
     read_store_limits(platform.table("state"), settings);
     Reader cloud = platform.table("cloud");
-    settings.cloud_rps = cloud.number("rps", 0.1);
+    settings.cloud_requests_per_s = cloud.number("rps", 0.1);
     settings.list_lag_s = cloud.number("list_lag_s", 0, false);
     Reader machine_limits = platform.table("machine_limits");
     settings.max_connections =
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -74,7 +74,7 @@
 }
 
 bool AgentRegistry::needs_whole_machine(const JobSpec& spec) const {
-    Resources two = spec.each * 2;
+    Resources two = spec.task_resources * 2;
     return std::none_of(types_.begin(), types_.end(),
                         [&](const MachineType& type) { return two.fits_in(type.size); });
 }
@@ -82,7 +82,8 @@
 double AgentRegistry::heartbeat_timeout_s() const {
     return ctx_.tunables.silence_s > 0
                ? ctx_.tunables.silence_s
-               : ctx_.settings.report_s * constants::report_spread + constants::silence_margin_s;
+               : ctx_.settings.heartbeat_interval_s * constants::report_spread +
+                     constants::silence_margin_s;
 }
 
 int AgentRegistry::image_number(const std::string& image) const {
@@ -152,7 +153,7 @@
                             machine.owned_by_us && machine.adopted;
         const Job* job = unplaced || exit_pending ? ctx_.jobs.find(attempt.task.uid) : nullptr;
         if (job != nullptr) {
-            machine.room += job->spec.each * (exit_pending ? 1.0 : -1.0);
+            machine.room += job->spec.task_resources * (exit_pending ? 1.0 : -1.0);
         }
     }
     return machine.room;
@@ -249,9 +250,10 @@
     machine.agent_epoch = report.agent_epoch;
     machine.heartbeat_seq = report.seq;
     machine.fencing_token = report.token;
-    if (report.notice_s && !machine.interruption_deadline) {
-        machine.interruption_deadline = ctx_.now.steady + *report.notice_s;
-        ctx_.info("machine {}: taken away in {:.1f} s", machine.name, *report.notice_s);
+    if (report.interruption_notice_s && !machine.interruption_deadline) {
+        machine.interruption_deadline = ctx_.now.steady + *report.interruption_notice_s;
+        ctx_.info("machine {}: taken away in {:.1f} s", machine.name,
+                  *report.interruption_notice_s);
     }
     machine.tasks.clear();
     for (const auto& status : report.tasks) {
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -72,8 +72,8 @@
 
 std::set<Machine*> FailureDetector::machines_with_overdue_cancels() {
     std::set<Machine*> machines;
-    double limit_s = ctx_.settings.cancel_s * constants::cancel_fence_share;
-    double last_limit_s = ctx_.settings.cancel_s * constants::cancel_fence_last_share;
+    double limit_s = ctx_.settings.cancel_deadline_s * constants::cancel_fence_share;
+    double last_limit_s = ctx_.settings.cancel_deadline_s * constants::cancel_fence_last_share;
     for (const auto& uid : ctx_.jobs.cancelled()) {
         const Job& job = ctx_.jobs.jobs().at(uid);
         double since_s = ctx_.now.wall - job.cancelled_wall;
@@ -142,7 +142,8 @@
 // there should be between any two.
 bool FailureDetector::partitioned_from_workers(int owned, int relayed) const {
     double now = ctx_.now.steady;
-    double interval_s = ctx_.settings.report_s * constants::report_spread / std::max(1, owned);
+    double interval_s =
+        ctx_.settings.heartbeat_interval_s * constants::report_spread / std::max(1, owned);
     double gap_s = std::max(constants::report_gap_s, interval_s * constants::report_gap_factor);
     return owned > constants::silent_few &&
            (relayed > owned * constants::relayed_share || now - last_direct_heartbeat_at_ > gap_s);
@@ -175,15 +176,15 @@
         // Perhaps only the way to it is cut: a worker needs this long to come back by way of
         // another controller, which relays its heartbeats. Guards against the release of hundreds
         // of healthy machines by a controller that is cut off from them.
-        limit_s = std::max(
-            limit_s, constants::relay_detour_s + ctx_.settings.report_s * constants::report_spread);
+        limit_s = std::max(limit_s, constants::relay_detour_s + ctx_.settings.heartbeat_interval_s *
+                                                                    constants::report_spread);
     }
     if (silent.adopted.is_suspect()) {
         limit_s = ctx_.settings.lease_s + registry_.heartbeat_timeout_s();
     }
     if (registry_.zone_partitioned(machine.zone)) {
         // By then every lease there has ended; starting anew costs about a boot.
-        limit_s = std::max(limit_s, ctx_.settings.cancel_s + registry_.longest_boot_s());
+        limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.longest_boot_s());
     }
     return limit_s;
 }
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -18,7 +18,7 @@
 }
 
 double GangPreemption::cost_s(const Job& job) const {
-    return (job.spec.save_s + ctx_.settings.gang_peer_s) * job.spec.tasks;
+    return (job.spec.save_s + ctx_.settings.gang_stop_window_s) * job.spec.tasks;
 }
 
 void GangPreemption::request_preemption(const Job& job, const std::string& why) {
--- a/src/core/agents/gang_preemption.hpp
+++ b/src/core/agents/gang_preemption.hpp
@@ -1,5 +1,5 @@
 // GangPreemption: the graceful preemption of a whole gang. A gang can checkpoint only if all of
-// its tasks are told to stop within gang_peer_s, and its machines may be owned by several
+// its tasks are told to stop within gang_stop_window_s, and its machines may be owned by several
 // controllers: the request is one compare-and-swap write to the gang's first block, which every
 // controller acts on as soon as its watch of the key-value store shows it.
 #pragma once
@@ -22,7 +22,7 @@
     /// Whether a gang has lost part of its tasks: some placed, none done, not all placed.
     static bool is_incomplete(const Job& job);
     /// Machine-seconds that preempting the gang costs: every task checkpoints (save_s) and waits
-    /// for its peers (gang_peer_s).
+    /// for its peers (gang_stop_window_s).
     double cost_s(const Job& job) const;
     /// Writes the preemption request into the gang's first block, unless the request is there
     /// already or the block is being written (then a later call does it). `why` goes to the log.
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -73,7 +73,7 @@
     WorkerReply reply;
     reply.request = request;
     reply.status = status;
-    reply.home = home;
+    reply.owner = home;
     ctx_.out.emplace_back(reply);
 }
 
@@ -95,7 +95,8 @@
     Redirect& redirect = redirects_[report.machine];
     double now = ctx_.now.steady;
     // Relayed once, it stays here and comes again with its next heartbeat.
-    double window_s = constants::relay_window_s + ctx_.settings.report_s * constants::report_spread;
+    double window_s =
+        constants::relay_window_s + ctx_.settings.heartbeat_interval_s * constants::report_spread;
     // Guards against workers that came back because their owner changed meanwhile, or could not be
     // reached for a moment, and were relayed for good: now and then they are redirected once more.
     bool came_back = redirect.owner_id == owner->id && now - redirect.last_at < window_s &&
@@ -115,8 +116,8 @@
 void HeartbeatHandler::relay(std::uint64_t request, const Heartbeat& report, const Member& owner) {
     PeerCall call;
     call.peer = owner.name;
-    call.state_contact = membership_.has_store_contact();
-    call.relay = report;
+    call.has_store_contact = membership_.has_store_contact();
+    call.relayed_heartbeat = report;
     ctx_.peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
         if (!answered || !reply) {
             reject(request, status_misdirected);
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -127,7 +127,7 @@
     }
     news_expected = news_expected || machine.tasks.size() > registry_.site(machine).tasks.size();
     if (has_room_to_offer && !news_expected && !overdue &&
-        registry_.room(machine).cpus > Resources::slack) {
+        registry_.room(machine).cpus > Resources::rounding_tolerance) {
         // Nothing ends there by itself, so the worker has nothing to report: its reply is held
         // open for a while, and a job that comes meanwhile starts without waiting for a heartbeat.
         machine.reply_deadline =
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -221,7 +221,7 @@
 // goes with them.
 void PendingTaskExits::write_blocks(const std::vector<BlockRef>& due, bool deferrable) {
     Txn txn;
-    txn.purpose = Txn::Purpose::end;
+    txn.purpose = Txn::Purpose::task_exit;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     bool full = false;
@@ -236,7 +236,7 @@
     if (txn.writes.empty()) {
         return;
     }
-    txn.urgency = deferrable ? Urgency::last : Urgency::normal;
+    txn.urgency = deferrable ? Urgency::low : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
     ctx_.txn(std::move(txn), [this, taken, written](const StoreReply& reply) {
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -18,7 +18,7 @@
 void ReleaseMarks::write() {
     auto waiting = std::exchange(pending_, {});
     Batch batch;
-    batch.txn.purpose = Txn::Purpose::mark;
+    batch.txn.purpose = Txn::Purpose::release_mark;
     for (const auto& [reason, names] : waiting) {
         CordonBatch marks;
         marks.why = reason.why;
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 void TaskReconciliation::record_exit(Machine& machine, const TaskStatus& status) {
-    TaskExit task_exit{status.attempt, cause_of(status.why), status.saved, machine.name};
+    TaskExit task_exit{status.attempt, cause_of(status.exit_reason), status.saved, machine.name};
     const Job* job = ctx_.jobs.find(status.id.uid);
     if (job == nullptr) {
         return;
@@ -48,7 +48,8 @@
         machine.failed_jobs.clear();
     } else if (task_exit.is_failure()) {
         note_task_failure(machine, *job);
-    } else if (status.why == ExitReason::no_room || status.why == ExitReason::busy) {
+    } else if (status.exit_reason == ExitReason::no_room ||
+               status.exit_reason == ExitReason::busy) {
         machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
     }
 }
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -58,7 +58,7 @@
     for (auto& [attempt, stop] : machine.pending_stops) {
         if (machine.adopted && now - stop.last_sent_at >= constants::stop_repeat_s) {
             if (stop.grace_s > 0 &&
-                now - stop.first_requested_at > stop.grace_s + ctx_.settings.gang_peer_s) {
+                now - stop.first_requested_at > stop.grace_s + ctx_.settings.gang_stop_window_s) {
                 stop.grace_s = 0;  // it should have saved by now
             }
             send(machine, attempt, stop);
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -51,8 +51,8 @@
                                      });
     // Largest tasks first, as usual in bin packing.
     std::stable_sort(jobs.begin(), jobs.end(), [](const auto* a, const auto* b) {
-        const Resources& x = a->job->spec.each;
-        const Resources& y = b->job->spec.each;
+        const Resources& x = a->job->spec.task_resources;
+        const Resources& y = b->job->spec.task_resources;
         return std::tie(x.gpus, x.cpus) > std::tie(y.gpus, y.cpus);
     });
     for (const PendingJob* pending_job : jobs) {
--- a/src/core/autoscaling/bin_packing.cpp
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -83,15 +83,17 @@
 
 bool BinPacking::accepts(const Bin& bin, const TaskDemand& demand) const {
     const JobSpec& spec = *demand.spec;
-    bool type_allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
-                                                 bin.kind.type) != spec.types->end();
+    bool type_allowed =
+        !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                         bin.kind.type) != spec.machine_types->end();
     bool spot = bin.kind.spot;
     const MachineType* type = agents_.type(bin.kind.type);
-    bool leftovers_only = demand.best_effort && !spot && spec.each.gpus <= 0 && type != nullptr;
+    bool leftovers_only =
+        demand.best_effort && !spot && spec.task_resources.gpus <= 0 && type != nullptr;
     return type_allowed && (!spot || spec.spot) &&
            (!demand.demand_class.prefers_spot || spot || !bin.empty) &&
-           spec.each.fits_in(leftovers_only ? PlacementConstraints::leftover_room(*type, bin.room)
-                                            : bin.room);
+           spec.task_resources.fits_in(
+               leftovers_only ? PlacementConstraints::leftover_room(*type, bin.room) : bin.room);
 }
 
 std::size_t BinPacking::next_fit(const TaskDemand& demand, const std::string& zone,
--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -36,8 +36,8 @@
     bool leader = membership_.is_leader();
     double pages = 1 + std::floor(static_cast<double>(agent_manager_.registry().machines().size()) /
                                   constants::machines_page);
-    double requests_per_s =
-        ctx_.settings.cloud_rps * (leader ? constants::list_share : constants::list_share_others);
+    double requests_per_s = ctx_.settings.cloud_requests_per_s *
+                            (leader ? constants::list_share : constants::list_share_others);
     double interval_s = leader ? constants::list_every_s : constants::list_every_others_s;
     return std::max({interval_s, ctx_.settings.list_lag_s * constants::list_lag_factor,
                      pages / requests_per_s});
@@ -63,7 +63,7 @@
             return;
         }
         agent_manager_.apply_cloud_listing(reply.listed);
-        if (reply.more && !reply.listed.empty()) {
+        if (reply.has_more && !reply.listed.empty()) {
             request_listing_page(reply.listed.back().name);
         } else {
             listing_complete_ = true;
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -91,7 +91,7 @@
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
-        call.state_contact = membership_.has_store_contact();
+        call.has_store_contact = membership_.has_store_contact();
         call.launches = notices;
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
@@ -156,7 +156,7 @@
             set_out_of_capacity(launch->kind);
             pending_.erase(launch);
             break;
-        case CloudReply::Status::bad:
+        case CloudReply::Status::bad_request:
             ctx_.error("rental {}: refused as malformed", request);
             pending_.erase(launch);
             break;
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -53,10 +53,11 @@
 }
 
 // Guards against a machine that hangs with a cancelled task through an outage of the key-value
-// store that is longer than cancel_s: nobody can mark it, and the leader releases only what is
-// marked. A release needs no record to be safe, since nothing is concluded from this one: once
-// there is contact the machine is found silent, marked and released again, and only that answer is
-// the proof. Only who may still answer its workers does it: others may have taken them over.
+// store that is longer than cancel_deadline_s: nobody can mark it, and the leader releases only
+// what is marked. A release needs no record to be safe, since nothing is concluded from this one:
+// once there is contact the machine is found silent, marked and released again, and only that
+// answer is the proof. Only who may still answer its workers does it: others may have taken them
+// over.
 void MachineRelease::release_unrecorded() {
     if (membership_.has_store_contact()) {
         released_unrecorded_.clear();
@@ -90,7 +91,7 @@
 // there as ended.
 void MachineRelease::record_released(const std::set<std::string>& machines) {
     Txn txn;
-    txn.purpose = Txn::Purpose::mark;
+    txn.purpose = Txn::Purpose::release_mark;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, old] : ctx_.jobs.marks()) {
         CordonBatch marks = old;
@@ -165,7 +166,7 @@
     std::erase_if(gone_since_,
                   [&](const auto& entry) { return ctx_.jobs.marks().count(entry.first) == 0; });
     Txn txn;
-    txn.purpose = Txn::Purpose::mark;
+    txn.purpose = Txn::Purpose::release_mark;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         if (!all_gone(key, marks)) {
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -32,12 +32,12 @@
     }
     TaskDemand demand = demand_of(pending_job, *type);
     // Whether all tasks of its demand class can go to the same bins.
-    bool any_zone = !spec.spread && !spec.together && !spec.zone;
+    bool any_zone = !spec.zone_spread && !spec.same_zone && !spec.zone;
     if (any_zone && unplaceable_.contains(demand.demand_class)) {
         return;
     }
     for (int i = 0; i < job.open(); ++i) {
-        Resources planned = planned_[spec.team] + spec.each;
+        Resources planned = planned_[spec.team] + spec.task_resources;
         if (!quota_.within_limit(spec.team, planned)) {
             return;
         }
@@ -61,10 +61,10 @@
     // others.
     demand.best_effort = PlacementConstraints::is_best_effort_spot(spec);
     demand.only_zone = spec.zone;
-    if (spec.spread || spec.together) {
+    if (spec.zone_spread || spec.same_zone) {
         job.each_placement([&](int, const Placement& placement) {
             demand.tasks_by_zone[placement.zone]++;
-            if (spec.together) {
+            if (spec.same_zone) {
                 demand.only_zone = placement.zone;
             }
             return true;
@@ -75,7 +75,7 @@
     bool prefers_spot =
         spec.spot && (demand.best_effort || pick_zone(type.name, true, demand.only_zone));
     demand.demand_class = {pending_job.equivalence_class, prefers_spot};
-    if (spec.together && !demand.only_zone && spec.tasks > 1) {
+    if (spec.same_zone && !demand.only_zone && spec.tasks > 1) {
         // So that little must be launched beside the room that is there.
         demand.only_zone = packing_.zone_with_most_room(demand);
     }
@@ -90,10 +90,10 @@
     if (index == packing_.bins().size() && !launch_for(demand, excluded)) {
         return false;
     }
-    packing_.place(index, spec.each);
+    packing_.place(index, spec.task_resources);
     const std::string& zone = packing_.bins()[index].kind.zone;
     demand.tasks_by_zone[zone]++;
-    if (spec.together && !demand.only_zone) {
+    if (spec.same_zone && !demand.only_zone) {
         demand.only_zone = zone;
     }
     return true;
@@ -105,7 +105,7 @@
     const JobSpec& spec = *demand.spec;
     std::size_t found = packing_.bins().size();
     for (const auto& zone : demand.type->zones) {
-        if (spec.spread && demand.tasks_by_zone[zone] >= (spec.tasks + 1) / 2) {
+        if (spec.zone_spread && demand.tasks_by_zone[zone] >= (spec.tasks + 1) / 2) {
             excluded.insert(zone);
             continue;
         }
@@ -158,9 +158,10 @@
 const MachineType* ScaleOutPlan::cheapest_type_for(const JobSpec& spec) const {
     const MachineType* best = nullptr;
     for (const auto& type : agent_manager_.registry().types()) {
-        bool allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
-                                                type.name) != spec.types->end();
-        if (allowed && spec.each.fits_in(type.size) &&
+        bool allowed =
+            !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                             type.name) != spec.machine_types->end();
+        if (allowed && spec.task_resources.fits_in(type.size) &&
             (best == nullptr || type.price < best->price)) {
             best = &type;
         }
--- a/src/core/context/context.cpp
+++ b/src/core/context/context.cpp
@@ -53,7 +53,7 @@
     auto largest = largest_value(call.txn);
     state(std::move(call), [this, largest = std::move(largest), leased,
                             done = std::move(done)](const StoreReply& reply) {
-        if (reply.status == StoreReply::Status::bad && !leased) {
+        if (reply.status == StoreReply::Status::bad_request && !leased) {
             // Not to be repeated as it is. What was larger than the announced limits allow says
             // that they are in force.
             error("state service refuses a change of {} and others, {} bytes", largest.key,
@@ -113,15 +113,16 @@
 }
 
 std::size_t Context::value_max() const {
-    return usable_bytes(settings.state_value_kb);
+    return usable_bytes(settings.store_value_kb_max);
 }
 
 std::size_t Context::value_max_today() const {
-    return announced_limits_in_force_ ? value_max() : usable_bytes(settings.state_value_kb_today);
+    return announced_limits_in_force_ ? value_max()
+                                      : usable_bytes(settings.store_current_value_kb_max);
 }
 
 std::size_t Context::ops_max() const {
-    return static_cast<std::size_t>(settings.state_txn_ops);
+    return static_cast<std::size_t>(settings.store_txn_ops_max);
 }
 
 std::size_t Context::conditions_max() const {
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -103,8 +103,8 @@
     ctx_.now = now;
     membership_.on_peer_message(peer, message);
     autoscaler_.take_launch_notices(message.launches);
-    if (message.pressure) {
-        admission_table_sync_.on_pressure_sample(peer, *message.pressure);
+    if (message.overload_sample) {
+        admission_table_sync_.on_overload_sample(peer, *message.overload_sample);
     }
 }
 
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -17,7 +17,7 @@
     const auto& table = ctx_.jobs.table();
     const JobSpec& s = job.spec;
     // The rules of placement of others look at more than one task.
-    return table && table->shared && s.kind == JobKind::array && !s.spread && !s.together &&
+    return table && table->shared && s.kind == JobKind::array && !s.zone_spread && !s.same_zone &&
            job.page_size == 0;
 }
 
@@ -174,7 +174,7 @@
             ClaimBatch sheet;
             append_live_entries(key, sheet);
             Txn txn;
-            txn.purpose = Txn::Purpose::sheet;
+            txn.purpose = Txn::Purpose::claim_batch;
             txn.conditions = {ctx_.epoch_condition(), {key, doubt.revision}};
             txn.writes = {{key, encode(sheet)}};
             writes_in_flight_.insert(key);
@@ -194,12 +194,12 @@
     Condition where = next_record();
     ClaimBatch sheet;
     append_live_entries(where.key, sheet);
-    txn.spared = entries.size() - 1;
+    txn.writes_avoided = entries.size() - 1;
     std::move(entries.begin(), entries.end(), std::back_inserter(sheet.entries));
     txn.conditions.push_back(ctx_.epoch_condition());
     txn.conditions.push_back(where);
     txn.writes.push_back({where.key, encode(sheet)});
-    txn.purpose = Txn::Purpose::sheet;
+    txn.purpose = Txn::Purpose::claim_batch;
     writes_in_flight_.insert(where.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
     ctx_.txn(std::move(txn),
@@ -238,7 +238,7 @@
     std::erase_if(live_bytes_cache_,
                   [&](const auto& k) { return ctx_.jobs.revision_of(k.first) == 0; });
     Txn txn;
-    txn.urgency = Urgency::last;
+    txn.urgency = Urgency::low;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, said] : ctx_.jobs.claim_batches()) {
         if (txn.writes.size() < constants::sheets_retired && is_retirable(key)) {
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -36,7 +36,7 @@
     auto known = waiting_.find(uid);
     if (waits && known == waiting_.end()) {
         auto& all = waiting_[uid];
-        all.insert(job->spec.follows.begin(), job->spec.follows.end());
+        all.insert(job->spec.depends_on.begin(), job->spec.depends_on.end());
         for (const auto& other : all) {
             needed_by_[other].insert(uid);
             refresh_priority(other);
@@ -169,7 +169,7 @@
             return;
         }
         ready = ready && end == End::done;
-        if (end || reading_.contains(other) || !look_ups_.has(ctx_.now.steady, 1)) {
+        if (end || reading_.contains(other) || !look_ups_.can_take(ctx_.now.steady, 1)) {
             continue;
         }
         // Over so long that its final state was moved away; it was accepted, or nobody could have
@@ -200,7 +200,7 @@
     JobRecord record = job.record();
     record.waiting = false;
     record.follow_parts = 0;
-    record.spec.follows.clear();
+    record.spec.depends_on.clear();
     record.ready_wall = std::max(1.0, ctx_.now.wall);
     Txn txn;
     txn.conditions = JobStore::alive(job);
@@ -238,14 +238,14 @@
 // a crash leaves out, the next member finds in the same records.
 void Dependencies::cancel_with(const std::vector<std::string>& uids) {
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     std::vector<std::string> names;
     auto send = [&] {
         if (names.empty()) {
             return;
         }
         txn.conditions.push_back(ctx_.epoch_condition());
-        ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::first}),
+        ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
                  [this, names](const StoreReply& r) {
                      ctx_.when_settled(r, [this, names] {
                          for (const auto& uid : names) {
--- a/src/core/jobs/dependencies.hpp
+++ b/src/core/jobs/dependencies.hpp
@@ -22,8 +22,8 @@
     Dependencies(Context& ctx, const Membership& membership)
         : ctx_(ctx),
           membership_(membership),
-          look_ups_(ctx.settings.state_rps * constants::look_up_share,
-                    ctx.settings.state_rps * constants::look_up_share) {}
+          look_ups_(ctx.settings.store_requests_per_s * constants::look_up_share,
+                    ctx.settings.store_requests_per_s * constants::look_up_share) {}
 
     // touched: jobs that changed
     void records_changed(const std::set<std::string>& touched);
@@ -53,7 +53,7 @@
     std::set<std::string> reading_;
     std::map<std::string, double>
         strays_;  // jobs nobody accepted whose parts are there: since when
-    RateBudget look_ups_;
+    TokenBucket look_ups_;
     double next_look_ = 0;
 };
 
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -80,7 +80,7 @@
     const Member& self = next.members.back();
     join_in_flight_ = true;
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(next)},
                   {keys::member(self.name), encode_member(self), lease_.id()}};
@@ -100,7 +100,7 @@
                 join();
             });
             break;
-        case StoreReply::Status::bad:
+        case StoreReply::Status::bad_request:
             // The lease expired meanwhile.
             join_in_flight_ = false;
             lease_.replace();
@@ -149,7 +149,7 @@
 void LeaderElection::write_epoch_of_survivors(const Epoch& survivors) {
     removal_in_flight_ = true;
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(survivors)}};
     ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -51,16 +51,16 @@
 }
 
 void Membership::on_peer_message(const std::string& peer, const PeerCall& message) {
-    peers_.on_message(peer, message.state_contact);
+    peers_.on_message(peer, message.has_store_contact);
     if (!message.lease) {
-        bool is_heartbeat = !message.relay && message.launches.empty();
+        bool is_heartbeat = !message.relayed_heartbeat && message.launches.empty();
         if (is_heartbeat) {
             peers_.on_heartbeat_without_leases(peer);
         }
         return;
     }
     for (const auto& cancellation : message.lease->cancelled) {
-        note_cancelled(cancellation.uid, cancellation.wall);
+        note_cancelled(cancellation.uid, cancellation.cancelled_wall);
     }
     peers_.on_heartbeat(peer, message.lease->heartbeat);
     take_in_noted_cancellations();
@@ -79,10 +79,11 @@
 
 // An answer renews the worker's lease for lease_s from its heartbeat on, so a cancelled task may
 // live that long although it is unknown here. Hence the rule: every cancellation that users were
-// told of more than cancel_s - lease_s ago, less a margin, is known here. As of the safe time the
-// replica has all; beyond that the peers' read leases say until when nobody told anything else.
-// Guards against the gap: refused alone, while another controller confirms cancellations, and then
-// an outage for all, longer than cancel_s, in which "nobody has contact" says nothing of before.
+// told of more than cancel_deadline_s - lease_s ago, less a margin, is known here. As of the safe
+// time the replica has all; beyond that the peers' read leases say until when nobody told anything
+// else. Guards against the gap: refused alone, while another controller confirms cancellations, and
+// then an outage for all, longer than cancel_deadline_s, in which "nobody has contact" says nothing
+// of before.
 bool Membership::may_answer_workers() const {
     if (!ctx_.is_member || !ctx_.replica_complete) {
         return false;
@@ -92,7 +93,8 @@
     if (store_contact_.seconds_without_store() > member_lease_s && peers_have_store_contact()) {
         return false;
     }
-    double limit_s = ctx_.settings.cancel_s - ctx_.settings.lease_s - constants::cancel_margin_s;
+    double limit_s =
+        ctx_.settings.cancel_deadline_s - ctx_.settings.lease_s - constants::cancel_margin_s;
     return cancellations_unknown_for_s() < std::max(limit_s, constants::contact_lost_s);
 }
 
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -61,8 +61,8 @@
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
-        call.state_contact = sent_store_contact_;
-        call.pressure = ctx_.overload.sample(now);
+        call.has_store_contact = sent_store_contact_;
+        call.overload_sample = ctx_.overload.sample(now);
         call.lease = lease_heartbeat(peer.name, known);
         ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -44,7 +44,7 @@
     // then repeats what they already hold.
     Revision first = first_page_revision == 0 ? page.revision : first_page_revision;
     ctx_.jobs.load(page.events);
-    if (page.more && !page.events.empty()) {
+    if (page.has_more && !page.events.empty()) {
         read_page(page.events.back().key, first);
         return;
     }
--- a/src/core/membership/store_contact.cpp
+++ b/src/core/membership/store_contact.cpp
@@ -36,7 +36,7 @@
     }
     requesting_safe_time_ = true;
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition()};
     ctx_.txn(txn, [this](const StoreReply& reply) {
         requesting_safe_time_ = false;
--- a/src/core/model/budget.hpp
+++ b/src/core/model/budget.hpp
@@ -1,22 +1,26 @@
-// A token bucket: what may still be sent within a limit per second.
+/// Token bucket that limits a rate of calls or writes.
 #pragma once
 
 #include <algorithm>
 
 namespace cranemoor::core {
 
-class RateBudget {
+/// A token bucket that starts full. Times are seconds on the steady clock, amounts are tokens.
+class TokenBucket {
   public:
-    RateBudget(double per_s, double burst) : per_s_(per_s), burst_(burst), tokens_(burst) {}
+    /// `per_s`: tokens added per second, above 0; `burst`: capacity of the bucket.
+    TokenBucket(double per_s, double burst) : per_s_(per_s), burst_(burst), tokens_(burst) {}
 
-    bool has(double now, double amount) {
+    /// Whether `amount` may be taken now.
+    bool can_take(double now, double amount) {
         refill(now);
-        // More than a whole burst is allowed when the bucket is full: it would never go out.
+        // A full bucket allows more than the burst: such an amount would otherwise never be sent.
         return tokens_ >= std::min(amount, burst_);
     }
+    /// Takes `amount` without a check. The bucket may become negative, which delays later calls.
     void take(double amount) { tokens_ -= amount; }
-    // s until `has` may hold
-    double wait(double now, double amount) {
+    /// Seconds until `can_take` may hold, if nothing else is taken meanwhile; 0: it holds now.
+    double wait_s(double now, double amount) {
         refill(now);
         double missing = std::min(amount, burst_) - tokens_;
         return missing <= 0 ? 0 : missing / per_s_;
@@ -24,15 +28,15 @@
 
   private:
     void refill(double now) {
-        if (now > last_) {
-            tokens_ = std::min(burst_, tokens_ + (now - last_) * per_s_);
-            last_ = now;
+        if (now > last_refill_) {
+            tokens_ = std::min(burst_, tokens_ + (now - last_refill_) * per_s_);
+            last_refill_ = now;
         }
     }
     double per_s_;
     double burst_;
     double tokens_;
-    double last_ = 0;
+    double last_refill_ = 0;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/model/constants.hpp
+++ b/src/core/model/constants.hpp
@@ -21,7 +21,8 @@
     // final states kept among the watched records before the oldest are moved away: about a
     // megabyte of memory and four pages to read at a start
     double final_states = 4000;
-    // seconds without a report after which a machine is probed and then fenced; 0: follows report_s
+    // seconds without a report after which a machine is probed and then fenced; 0: follows
+    // heartbeat_interval_s
     double silence_s = 0;
 };
 
@@ -111,7 +112,7 @@
 // s beyond its hold after which a watch without answer is opened anew; watches stay open
 // during an outage, so this must not be short
 inline constexpr double watch_grace_s = 2.0;
-// 1/s watches reopened by a controller: a share of the request limit, see RateBudget
+// 1/s watches reopened by a controller: a share of the request limit, see TokenBucket
 inline constexpr double watch_share = 0.12;
 // s between read checks (compare-only transactions) of a controller
 inline constexpr double read_check_every_s = 0.04;
@@ -252,7 +253,7 @@
 // s the answer to a machine with room is kept open while nothing ends there, so that a new job
 // starts at once: below the workers' 4 s by what a slow controller and the network may take
 inline constexpr double idle_hold_s = 3.0;
-// times report_s within which the next report goes out at the latest
+// times heartbeat_interval_s within which the next report goes out at the latest
 inline constexpr double report_spread = 1.25;
 // s beyond that after which a machine is silent: a timeout of 4 s at one controller is met by
 // the probe, which takes this long
@@ -304,7 +305,7 @@
 // s between releases that are asked for without contact with the state service: one call of the
 // cloud's few a second, by each member
 inline constexpr double release_unrecorded_every_s = 1.0;
-// fraction of cancel_s after which a machine that still has a cancelled task is released
+// fraction of cancel_deadline_s after which a machine that still has a cancelled task is released
 inline constexpr double cancel_fence_share = 0.4;
 // the same if its owner has just taken it over and may still hear that the task has ended: late
 // enough for the longest time between reports, and early enough for a release that is repeated
--- a/src/core/overload/overload_detector.cpp
+++ b/src/core/overload/overload_detector.cpp
@@ -16,7 +16,8 @@
 
 void OverloadDetector::began(std::uint64_t id, const Txn& txn, double now) {
     if (!txn.writes.empty()) {
-        open_[id] = {now, txn.writes.size(), txn.spared, txn.purpose, txn.urgency != Urgency::last};
+        open_[id] = {now, txn.writes.size(), txn.writes_avoided, txn.purpose,
+                     txn.urgency != Urgency::low};
     }
 }
 
@@ -34,7 +35,7 @@
     refused_ += status == StoreReply::Status::refused ? 1 : 0;
     double passed = std::max(0.0, now - rate_at_);
     rate_ = rate_ * std::exp(-passed / constants::pressure_rate_s) +
-            static_cast<double>(o.writes + o.spared) / constants::pressure_rate_s;
+            static_cast<double>(o.writes + o.writes_avoided) / constants::pressure_rate_s;
     rate_at_ = now;
     open_.erase(it);
 }
@@ -50,7 +51,7 @@
     return wait;
 }
 
-PressureSample OverloadDetector::sample(double now) const {
+OverloadSample OverloadDetector::sample(double now) const {
     double rate = rate_ * std::exp(-std::max(0.0, now - rate_at_) / constants::pressure_rate_s);
     return {write_wait_s(now), rate};
 }
--- a/src/core/overload/overload_detector.hpp
+++ b/src/core/overload/overload_detector.hpp
@@ -21,13 +21,13 @@
     // Puts and deletes sent off since the last call, and how many of them by purpose, in words.
     std::string take_words(double now);
     // What one member tells another.
-    PressureSample sample(double now) const;
+    OverloadSample sample(double now) const;
 
   private:
     struct Open {
         double since = 0;
         std::size_t writes = 0;
-        std::size_t spared = 0;
+        std::size_t writes_avoided = 0;
         Txn::Purpose purpose = Txn::Purpose::other;
         bool waited_for = true;
     };
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -12,8 +12,8 @@
 
 // Whether an amount is within a limit, where 0 means none.
 bool within(const Resources& amount, const Team& t) {
-    return (t.limit.cpus <= 0 || amount.cpus <= t.limit.cpus + Resources::slack) &&
-           (t.limit.gpus <= 0 || amount.gpus <= t.limit.gpus + Resources::slack);
+    return (t.limit.cpus <= 0 || amount.cpus <= t.limit.cpus + Resources::rounding_tolerance) &&
+           (t.limit.gpus <= 0 || amount.gpus <= t.limit.gpus + Resources::rounding_tolerance);
 }
 
 Resources at_least_zero(Resources r) {
@@ -27,7 +27,8 @@
 }
 
 bool none(const Resources& r) {
-    return r.cpus < Resources::slack && r.gpus < Resources::slack && r.memory_gb < Resources::slack;
+    return r.cpus < Resources::rounding_tolerance && r.gpus < Resources::rounding_tolerance &&
+           r.memory_gb < Resources::rounding_tolerance;
 }
 
 }  // namespace
@@ -127,7 +128,7 @@
     for (const Job* job : ctx_.jobs.open()) {
         const JobSpec& s = job->spec;
         if (s.team == name) {
-            Resources r = s.each * (s.kind == JobKind::gang ? s.tasks : 1);
+            Resources r = s.task_resources * (s.kind == JobKind::gang ? s.tasks : 1);
             most = {std::max(most.cpus, r.cpus), std::max(most.gpus, r.gpus), 0};
         }
     }
@@ -158,8 +159,8 @@
                                                         std::max(share.gpus, start.gpus), 0};
         Resources used =
             counted(at_least_zero(ctx_.jobs.used(t.name, ctx_.self.id)) + pending_[t.name], t);
-        bool surplus = mine->second.gpus > used.gpus + Resources::slack ||
-                       mine->second.cpus > used.cpus + Resources::slack;
+        bool surplus = mine->second.gpus > used.gpus + Resources::rounding_tolerance ||
+                       mine->second.cpus > used.cpus + Resources::rounding_tolerance;
         if (within(near, t) || !surplus) {
             continue;
         }
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -44,7 +44,7 @@
 Txn CancellationHandler::cancellation_txn(const Job& job, double cancelled_wall) const {
     const auto& uid = job.spec.uid;
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.purpose = Txn::Purpose::cancel;
     txn.conditions = JobStore::alive(job);
     txn.conditions.push_back(ctx_.epoch_condition());
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -5,8 +5,8 @@
 FinishedJobs::FinishedJobs(Context& ctx, OpenRequests& open_requests)
     : ctx_(ctx),
       open_requests_(open_requests),
-      look_up_budget_(ctx.settings.state_rps * constants::look_up_share,
-                      ctx.settings.state_rps * constants::look_up_share) {}
+      look_up_budget_(ctx.settings.store_requests_per_s * constants::look_up_share,
+                      ctx.settings.store_requests_per_s * constants::look_up_share) {}
 
 const Finished* FinishedJobs::find(const std::string& uid) const {
     if (const Finished* final_state = ctx_.jobs.finished(uid)) {
@@ -23,7 +23,7 @@
     }
     // Guards against users who ask for what nobody submitted, many times a second: their reads
     // must not crowd out leases, claims and submissions.
-    if (!look_up_budget_.has(ctx_.now.steady, 1)) {
+    if (!look_up_budget_.can_take(ctx_.now.steady, 1)) {
         open_requests_.reject_unavailable(request, uid);
         return;
     }
--- a/src/core/requests/finished_jobs.hpp
+++ b/src/core/requests/finished_jobs.hpp
@@ -33,7 +33,7 @@
 
     Context& ctx_;
     OpenRequests& open_requests_;
-    RateBudget look_up_budget_;
+    TokenBucket look_up_budget_;
     std::unordered_map<std::string, Finished> cache_;
     std::vector<std::string> cache_order_;  // a ring: the oldest entry is replaced first
     std::size_t next_replaced_ = 0;         // index in cache_order_
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -36,7 +36,7 @@
         return;
     }
     auto rejection = validate(spec, ctx_, quota_, agents_);
-    if (!rejection && !is_known(spec.uid) && spec.follows.empty()) {
+    if (!rejection && !is_known(spec.uid) && spec.depends_on.empty()) {
         accept_new(request, spec);
         return;
     }
@@ -47,7 +47,7 @@
                 request, spec.uid, AnswerDetail::state, [this, request, spec, rejection] {
                     if (rejection) {
                         open_requests_.reject(request, spec.uid, *rejection);
-                    } else if (!spec.follows.empty()) {
+                    } else if (!spec.depends_on.empty()) {
                         accept_dependent(request, spec);
                     } else {
                         accept(request, spec, constants::accept_tries, false);
@@ -104,7 +104,7 @@
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
-    for (const auto& dependency : spec.follows) {
+    for (const auto& dependency : spec.depends_on) {
         if (is_known(dependency) || finished_jobs_.find(dependency) != nullptr) {
             continue;
         }
@@ -121,12 +121,12 @@
     }
     // What is done stays done: only the others have to be waited for.
     JobSpec remaining = spec;
-    std::erase_if(remaining.follows, [&](const std::string& dependency) {
+    std::erase_if(remaining.depends_on, [&](const std::string& dependency) {
         const Finished* final_state = finished_jobs_.find(dependency);
         return final_state != nullptr && !final_state->cancelled;
     });
     bool cancelled =
-        std::any_of(remaining.follows.begin(), remaining.follows.end(),
+        std::any_of(remaining.depends_on.begin(), remaining.depends_on.end(),
                     [&](const std::string& dependency) { return is_cancelled(dependency); });
     accept(request, remaining, constants::accept_tries, cancelled);
 }
--- a/src/core/requests/submission_validation.cpp
+++ b/src/core/requests/submission_validation.cpp
@@ -14,16 +14,16 @@
 }
 
 bool fits_type(const JobSpec& spec, const MachineType& type) {
-    bool type_allowed = !spec.types || contains(*spec.types, type.name);
+    bool type_allowed = !spec.machine_types || contains(*spec.machine_types, type.name);
     bool zone_allowed = !spec.zone || contains(type.zones, *spec.zone);
-    return type_allowed && zone_allowed && spec.each.fits_in(type.size);
+    return type_allowed && zone_allowed && spec.task_resources.fits_in(type.size);
 }
 
 // An array runs task by task, all other kinds are placed whole.
 bool exceeds_limit(const JobSpec& spec, const Resources& limit) {
-    Resources least = spec.each * (spec.kind == JobKind::array ? 1 : spec.tasks);
-    return (limit.cpus > 0 && least.cpus > limit.cpus + Resources::slack) ||
-           (limit.gpus > 0 && least.gpus > limit.gpus + Resources::slack);
+    Resources least = spec.task_resources * (spec.kind == JobKind::array ? 1 : spec.tasks);
+    return (limit.cpus > 0 && least.cpus > limit.cpus + Resources::rounding_tolerance) ||
+           (limit.gpus > 0 && least.gpus > limit.gpus + Resources::rounding_tolerance);
 }
 
 }  // namespace
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -45,7 +45,7 @@
 
 SubmissionWriter::BatchBuilder SubmissionWriter::collect_batch() {
     BatchBuilder builder;
-    builder.txn.urgency = Urgency::first;
+    builder.txn.urgency = Urgency::high;
     builder.txn.purpose = Txn::Purpose::accept;
     builder.txn.conditions.push_back(ctx_.epoch_condition());
     builder.room = ctx_.value_max() - std::min(ctx_.value_max(), constants::listing_frame_bytes);
@@ -115,12 +115,12 @@
     record.spec = submission.spec;
     record.submitted_wall = ctx_.now.wall;
     record.block_size = tasks_per_block(ctx_);
-    record.waiting = !submission.spec.follows.empty();
+    record.waiting = !submission.spec.depends_on.empty();
     record.follow_parts = submission.follow_parts;
     record.cancelled_wall = submission.cancelled ? std::max(1.0, ctx_.now.wall) : 0;
-    if (record.spec.types && encoded_size(record) > ctx_.value_max()) {
+    if (record.spec.machine_types && encoded_size(record) > ctx_.value_max()) {
         // A list of many types is cut to those that can be rented.
-        std::erase_if(*record.spec.types,
+        std::erase_if(*record.spec.machine_types,
                       [&](const std::string& type) { return agents_.type(type) == nullptr; });
     }
     return record;
@@ -141,7 +141,7 @@
         ctx_.value_max() - std::min(ctx_.value_max() / 2, constants::listing_frame_bytes);
     DependencyParts parts(1);
     std::size_t bytes = 0;
-    for (const auto& dependency : submission.spec.follows) {
+    for (const auto& dependency : submission.spec.depends_on) {
         std::size_t added = dependency.size() + name_frame_bytes;
         if (bytes + added > room) {
             parts.emplace_back();
@@ -163,7 +163,7 @@
     }
     auto key = keys::follows(submission->spec.uid, submission->follow_parts);
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition(), {key, ctx_.jobs.revision_of(key)}};
     txn.writes = {{key, encode_follows(parts[written])}};
     ctx_.txn(std::move(txn), [this, submission, parts = std::move(parts)](const StoreReply& reply) {
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -14,7 +14,7 @@
                        constants::writes_calm_s, constants::writes_calm_share,
                        constants::writes_calm_for_s}) {}
 
-void AdmissionTableSync::on_pressure_sample(const std::string& peer, const PressureSample& sample) {
+void AdmissionTableSync::on_overload_sample(const std::string& peer, const OverloadSample& sample) {
     samples_by_peer_[peer] = {sample, ctx_.now.steady};
 }
 
@@ -36,20 +36,20 @@
 
 void AdmissionTableSync::update_table() {
     double t = ctx_.now.steady;
-    PressureSample mine = ctx_.overload.sample(t);
+    OverloadSample mine = ctx_.overload.sample(t);
     double wait = mine.write_wait_s;
-    double writes = mine.writes;
+    double writes = mine.writes_per_s;
     for (const auto& [name, h] : samples_by_peer_) {
         if (t - h.at < constants::peer_message_s) {
             wait = std::max(wait, h.sample.write_wait_s);
-            writes += h.sample.writes;
+            writes += h.sample.writes_per_s;
         }
     }
     const auto& old = ctx_.jobs.table();
     admission::Table next = old.value_or(admission::Table{});
     bool was = next.shared;
     write_scarcity_.set(was);
-    next.shared = write_scarcity_.look(t, wait, writes / ctx_.settings.state_write_rps);
+    next.shared = write_scarcity_.look(t, wait, writes / ctx_.settings.store_writes_per_s);
     if (!next.shared && !was) {
         return;
     }
@@ -108,7 +108,7 @@
     const auto& old = ctx_.jobs.table();
     next.number = old ? old->number + 1 : 1;
     Txn txn;
-    txn.urgency = Urgency::first;
+    txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition(), {keys::table, ctx_.jobs.revision_of(keys::table)}};
     txn.writes = {{keys::table, encode(next)}};
     write_in_flight_ = true;
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -22,14 +22,14 @@
     AdmissionTableSync(Context& ctx, const Membership& membership, const AgentRegistry& agents);
 
     /// Keeps the latest pressure sample received from controller `peer` (by name).
-    void on_pressure_sample(const std::string& peer, const PressureSample& sample);
+    void on_overload_sample(const std::string& peer, const OverloadSample& sample);
     /// Every `constants::accord_every_s` seconds: logs the pressure summary and, on the leader,
     /// rewrites the admission table when scarcity or the owned-machine shares changed enough.
     void tick();
 
   private:
     struct PeerSample {
-        PressureSample sample;
+        OverloadSample sample;
         double at = -1e9;  // steady time it was received
     };
 
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -51,7 +51,7 @@
         block_keys.push_back(claim.key);
         ++blocks_in_flight_;
     }
-    if (job.page_size > 0 && (job.spec.spread || job.spec.together)) {
+    if (job.page_size > 0 && (job.spec.zone_spread || job.spec.same_zone)) {
         // Whether the place is allowed depends on the tasks of the other pages.
         for (int index = 0; index < job.block_count(); ++index) {
             if (!blocks.contains(index)) {
@@ -105,12 +105,12 @@
     InFlight& in_flight = open.in_flight;
     ctx_.blocks_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
     for (const auto& name : machines) {
-        claimed_[name] += job.spec.each;
-        in_flight.shares.push_back({name, job.spec.each});
+        claimed_[name] += job.spec.task_resources;
+        in_flight.shares.push_back({name, job.spec.task_resources});
     }
     claim.epoch = ctx_.jobs.revision_of(keys::epoch);
     claim.team = job.spec.team;
-    claim.amount = job.spec.each * tasks;
+    claim.amount = job.spec.task_resources * tasks;
     quota_.reserve(claim.team, claim.amount);
     in_flight.claims.push_back(std::move(claim));
     std::set<std::string> distinct(machines.begin(), machines.end());
@@ -169,7 +169,7 @@
     using Status = StoreReply::Status;
     if (reply.status == Status::ok || reply.status == Status::conflict) {
         if (reply.status == Status::conflict) {
-            ctx_.debug("claims lost to other changes of {}", fmt::join(reply.failed, ","));
+            ctx_.debug("claims lost to other changes of {}", fmt::join(reply.failed_keys, ","));
         }
         ctx_.when_at(reply.revision, [this, in_flight] {
             release_quota(in_flight);
@@ -206,7 +206,7 @@
     for (const auto& share : in_flight.shares) {
         Resources& claimed = claimed_[share.machine];
         claimed -= share.amount;
-        if (claimed.cpus < Resources::slack) {
+        if (claimed.cpus < Resources::rounding_tolerance) {
             claimed_.erase(share.machine);
         }
     }
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -10,7 +10,7 @@
 
 std::map<int, Block> GangPlacement::next_attempt(const Job& job) const {
     // One more write for the team's quota record.
-    bool fits_transaction = job.block_count() + 1 <= ctx_.settings.state_txn_ops;
+    bool fits_transaction = job.block_count() + 1 <= ctx_.settings.store_txn_ops_max;
     if (!fits_transaction || job.open() != job.spec.tasks) {
         return {};
     }
@@ -36,12 +36,12 @@
     // By zone; of a gang that needn't stay in one zone, all under one name.
     std::map<std::string, std::vector<Candidate>> candidates_by_zone;
     for (auto& offer : round.offers) {
-        if (offer.is_reserved_against(spec) || !spec.each.fits_in(offer.room) ||
+        if (offer.is_reserved_against(spec) || !spec.task_resources.fits_in(offer.room) ||
             !constraints_.allows(job, *offer.machine)) {
             continue;
         }
         bool has_image = spec.image_gb <= 0 || AgentRegistry::has_image(*offer.machine, image);
-        candidates_by_zone[spec.together ? offer.machine->zone : ""].push_back(
+        candidates_by_zone[spec.same_zone ? offer.machine->zone : ""].push_back(
             {&offer, has_image, MachineScoring::score_for_gang(offer)});
     }
     Places best;
@@ -68,9 +68,10 @@
     for (const auto& candidate : candidates) {
         MachineOffer& offer = *candidate.offer;
         Resources room = offer.room;
-        while (static_cast<int>(places.tasks.size()) < spec.tasks && spec.each.fits_in(room) &&
-               (!spec.spread || tasks_in_zone[offer.machine->zone] < spread_limit)) {
-            room -= spec.each;
+        while (static_cast<int>(places.tasks.size()) < spec.tasks &&
+               spec.task_resources.fits_in(room) &&
+               (!spec.zone_spread || tasks_in_zone[offer.machine->zone] < spread_limit)) {
+            room -= spec.task_resources;
             tasks_in_zone[offer.machine->zone]++;
             places.with_image += candidate.has_image ? 1 : 0;
             places.tasks.push_back({static_cast<int>(places.tasks.size()), &offer});
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -74,7 +74,7 @@
 bool GangReservations::is_reservable(const Machine& machine, const Job& job) const {
     const MachineType* type = agents_.type(machine.type);
     return machine.owned_by_us && find(machine.name) == nullptr && agents_.usable(machine) &&
-           type != nullptr && job.spec.each.fits_in(type->size) &&
+           type != nullptr && job.spec.task_resources.fits_in(type->size) &&
            constraints_.allows(job, machine);
 }
 
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -64,7 +64,8 @@
     const auto& machines = agents_.all();
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         return agents_.in_use(*machine) && !agents_.site(*machine).tasks.empty() &&
-               job.spec.each.fits_in(agents_.room(*machine)) && constraints_.allows(job, *machine);
+               job.spec.task_resources.fits_in(agents_.room(*machine)) &&
+               constraints_.allows(job, *machine);
     });
 }
 
@@ -92,7 +93,8 @@
         }
         bool is_booting =
             ctx_.now.steady - machine->launched_at < type->boot_s * constants::boot_late_factor;
-        return (machine->up() || is_booting) && job.spec.each.fits_in(agents_.room(*machine)) &&
+        return (machine->up() || is_booting) &&
+               job.spec.task_resources.fits_in(agents_.room(*machine)) &&
                !agents_.site(*machine).mark && constraints_.allows(job, *machine);
     });
 }
@@ -118,7 +120,7 @@
             agents_.site(*machine).mark || !constraints_.allows(job, *machine)) {
             continue;
         }
-        found += job.spec.each.fits_in(room_within_wait(*machine)) ? 1 : 0;
+        found += job.spec.task_resources.fits_in(room_within_wait(*machine)) ? 1 : 0;
         if (found >= needed) {
             return true;
         }
@@ -133,7 +135,7 @@
         const JobSpec& spec = placed.job->spec;
         double remaining_s = spec.estimate_s - (ctx_.now.steady - agents_.placed_at(id));
         if (spec.kind != JobKind::service && remaining_s < ctx_.tunables.locality_wait_s) {
-            room += spec.each;
+            room += spec.task_resources;
         }
     }
     return room;
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -120,10 +120,11 @@
 // What decides whether a task fits a machine, apart from zone rules that depend on its job's
 // other tasks, as a number: names would be compared over and over.
 int PendingQueue::equivalence_class(const JobSpec& spec) {
-    auto demands =
-        fmt::format("{}|{}|{}|{}|{}|{}|{}", spec.each.cpus, spec.each.gpus, spec.each.memory_gb,
-                    spec.spot, spec.priority == Priority::best_effort, spec.zone ? *spec.zone : "",
-                    spec.types ? fmt::format("{}", fmt::join(*spec.types, ",")) : "");
+    auto demands = fmt::format(
+        "{}|{}|{}|{}|{}|{}|{}", spec.task_resources.cpus, spec.task_resources.gpus,
+        spec.task_resources.memory_gb, spec.spot, spec.priority == Priority::best_effort,
+        spec.zone ? *spec.zone : "",
+        spec.machine_types ? fmt::format("{}", fmt::join(*spec.machine_types, ",")) : "");
     auto next = static_cast<int>(equivalence_classes_.size());
     return equivalence_classes_.try_emplace(std::move(demands), next).first->second;
 }
@@ -212,7 +213,7 @@
     for (const auto& [uid, job] : ctx_.jobs.jobs()) {
         if (job.placed() > 0) {
             held[{job.spec.team, job.spec.job_class}] +=
-                dominant_share(job.spec.each) * job.placed();
+                dominant_share(job.spec.task_resources) * job.placed();
         }
     }
     return held;
@@ -274,7 +275,7 @@
         double gpu_deficit = guarantee.gpus > 0 ? 1 - fraction(used.gpus, guarantee.gpus) : 0;
         double cpu_deficit = guarantee.cpus > 0 ? 1 - fraction(used.cpus, guarantee.cpus) : 0;
         double deficit = std::max(gpu_deficit, cpu_deficit);
-        bool is_below = deficit > Resources::slack;
+        bool is_below = deficit > Resources::rounding_tolerance;
         double need = is_below ? -deficit : dominant_share(used) / team_weight(team.name);
         standings[team.name] = {!is_below, need};
     }
--- a/src/core/scheduling/placement_constraints.cpp
+++ b/src/core/scheduling/placement_constraints.cpp
@@ -24,30 +24,32 @@
         return {};
     }
     const MachineType* type = agents_.type(offer.machine->type);
-    return spec.each.gpus > 0 || type == nullptr ? offer.room : leftover_room(*type, offer.room);
+    return spec.task_resources.gpus > 0 || type == nullptr ? offer.room
+                                                           : leftover_room(*type, offer.room);
 }
 
 bool PlacementConstraints::fits(const MachineOffer& offer, const Job& job) const {
-    return job.spec.each.fits_in(usable_room(offer, job.spec)) && allows(job, *offer.machine);
+    return job.spec.task_resources.fits_in(usable_room(offer, job.spec)) &&
+           allows(job, *offer.machine);
 }
 
 bool PlacementConstraints::allows(const Job& job, const Machine& machine) const {
     const JobSpec& spec = job.spec;
-    if (spec.types &&
-        std::find(spec.types->begin(), spec.types->end(), machine.type) == spec.types->end()) {
+    if (spec.machine_types && std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                        machine.type) == spec.machine_types->end()) {
         return false;
     }
     if ((spec.zone && *spec.zone != machine.zone) || (machine.spot && !spec.spot)) {
         return false;
     }
-    if (spec.together && spec.kind != JobKind::gang && job.record_count() > 1) {
+    if (spec.same_zone && spec.kind != JobKind::gang && job.record_count() > 1) {
         // Claims on different blocks don't see each other: a fixed zone keeps them together.
         const auto& zones = ctx_.settings.zones;
         std::size_t pick = stable_hash(spec.uid) % std::max<std::size_t>(1, zones.size());
         return !spec.zone && pick < zones.size() ? zones[pick] == machine.zone : true;
     }
     bool in_zone = true;
-    if (spec.together) {
+    if (spec.same_zone) {
         job.each_placement([&](int, const Placement& placement) {
             return in_zone = placement.zone == machine.zone;
         });
@@ -58,7 +60,7 @@
 int PlacementConstraints::spread_allowance(const Job& job, int block, const std::string& zone) {
     int first = job.block_first(block);
     int size = job.block_last(block) - first + 1;
-    if (!job.spec.spread) {
+    if (!job.spec.zone_spread) {
         return size;
     }
     // Blocks are of even size, all but the last: if each keeps to half of its own tasks, rounded
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -28,8 +28,10 @@
         return false;
     }
     Resources sum = ctx_.jobs.used(name) + more;
-    bool cpus = t->guarantee.cpus <= 0 || sum.cpus <= t->guarantee.cpus + Resources::slack;
-    bool gpus = t->guarantee.gpus <= 0 || sum.gpus <= t->guarantee.gpus + Resources::slack;
+    bool cpus =
+        t->guarantee.cpus <= 0 || sum.cpus <= t->guarantee.cpus + Resources::rounding_tolerance;
+    bool gpus =
+        t->guarantee.gpus <= 0 || sum.gpus <= t->guarantee.gpus + Resources::rounding_tolerance;
     return (t->guarantee.cpus > 0 || t->guarantee.gpus > 0) && cpus && gpus;
 }
 
@@ -49,7 +51,8 @@
     // The paper's minimum share timeout: work that another team runs beyond its own guarantee.
     return victim.spec.team != job.spec.team && waited > ctx_.tunables.share_timeout_s &&
            victim.spec.priority != Priority::production &&
-           below_guarantee(job.spec.team, job.spec.each) && !below_guarantee(victim.spec.team, {});
+           below_guarantee(job.spec.team, job.spec.task_resources) &&
+           !below_guarantee(victim.spec.team, {});
 }
 
 std::optional<Preemption::Victims> Preemption::victims_on(Machine& m, const Job& job,
@@ -75,14 +78,14 @@
               [](const auto& a, const auto& b) { return std::get<0>(a) < std::get<0>(b); });
     Resources room = agents_.room(m);
     for (const auto& [lost, id, other] : candidates) {
-        if (job.spec.each.fits_in(room)) {
+        if (job.spec.task_resources.fits_in(room)) {
             break;
         }
-        room += other->spec.each;
+        room += other->spec.task_resources;
         v.tasks.push_back(id);
         v.lost_s += lost;
     }
-    if (v.tasks.empty() || !job.spec.each.fits_in(room)) {
+    if (v.tasks.empty() || !job.spec.task_resources.fits_in(room)) {
         return std::nullopt;
     }
     return v;
@@ -100,7 +103,7 @@
     }
     // The room is there only when the gang has saved.
     gang_preemption_.request_preemption(*victim, "makes room for " + job.spec.uid);
-    double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
+    double saved = victim->spec.save_s + ctx_.settings.gang_stop_window_s;
     scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preempt_pause_s);
 }
 
@@ -126,13 +129,13 @@
     if ((s.tasks > 1 && s.kind == JobKind::gang) || job.doubtful()) {
         return false;
     }
-    if (s.priority <= Priority::normal && !below_guarantee(s.team, s.each)) {
+    if (s.priority <= Priority::normal && !below_guarantee(s.team, s.task_resources)) {
         return false;
     }
     auto recent = preempted_at_.find(s.uid);
     bool pause = recent != preempted_at_.end() &&
                  ctx_.now.steady - recent->second < constants::preempt_pause_s;
-    return !pause && quota_.within_limit(s.team, s.each);
+    return !pause && quota_.within_limit(s.team, s.task_resources);
 }
 
 // Whether a task of the block may run on the machine once there is room. Room made for one job
@@ -162,7 +165,7 @@
     bool fetch_counts = s.priority == Priority::production && s.image_gb > 0;
     for (Machine* each : agents_.all()) {
         Machine& m = *each;
-        bool fits = s.each.fits_in(agents_.room(m));
+        bool fits = s.task_resources.fits_in(agents_.room(m));
         bool local = AgentRegistry::has_image(m, image);
         // Most machines are left out by what costs least to see.
         bool better = m.owned_by_us && (!best || local || !best->local);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -63,14 +63,14 @@
         }
         // Where there is no room or use for it, that is an answer as well.
         machine->seen_by_scheduler = true;
-        if (agents_.room(*machine).cpus < Resources::slack ||
+        if (agents_.room(*machine).cpus < Resources::rounding_tolerance ||
             !(owned_by_us ? agents_.usable(*machine) : agents_.in_use(*machine))) {
             continue;
         }
         MachineOffer offer;
         offer.machine = machine;
         offer.room = agents_.room(*machine) - claim_writer_.claimed_on(machine->name);
-        if (offer.room.cpus < Resources::slack) {
+        if (offer.room.cpus < Resources::rounding_tolerance) {
             continue;
         }
         offer.owned_by_us = owned_by_us;
@@ -240,13 +240,13 @@
                            const std::map<int, Block>& blocks) {
     const JobSpec& spec = job.spec;
     claim_writer_.send_block_claims();
-    Resources amount = spec.each * spec.tasks;
+    Resources amount = spec.task_resources * spec.tasks;
     if (!quota_.within_limit(spec.team, amount) ||
         !claim_writer_.cover_quota(ClaimTarget::block_record, spec.team, amount)) {
         return;
     }
     for (const auto& place : places.tasks) {
-        place.offer->room -= spec.each;
+        place.offer->room -= spec.task_resources;
     }
     auto machines = take_offers(places.tasks, agents_.image_number(spec.image));
     claim_writer_.add_block_claim(job, blocks, machines, spec.tasks);
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -34,7 +34,7 @@
         // One claim may see machines of several zones: a job that must stay together has settled on
         // one with its first task, also with the first of this very claim.
         const std::string& zone = offer.machine->zone;
-        if (job_.spec.together && settled_on != nullptr && settled_on->machine->zone != zone) {
+        if (job_.spec.same_zone && settled_on != nullptr && settled_on->machine->zone != zone) {
             return false;
         }
         auto [allowance, is_new] = spread_allowances_.try_emplace(zone, 0);
@@ -42,7 +42,7 @@
             allowance->second = PlacementConstraints::spread_allowance(job_, block_, zone);
         }
         if (allowance->second <= 0 ||
-            !job_.spec.each.fits_in(constraints_.usable_room(offer, job_.spec))) {
+            !job_.spec.task_resources.fits_in(constraints_.usable_room(offer, job_.spec))) {
             return false;
         }
         --allowance->second;
@@ -88,14 +88,14 @@
             to_batched_record ? ClaimTarget::batched_record : ClaimTarget::block_record;
         reduce_to_quota(job, target, places);
         if (places.empty()) {
-            if (!spec.spread) {
+            if (!spec.zone_spread) {
                 break;  // no room for one is none for the tasks of the next block
             }
             continue;
         }
         claimed += places.size();
         write_claim(job, block, std::move(next), target, places);
-        if (job.page_size > 0 && (spec.spread || spec.together)) {
+        if (job.page_size > 0 && (spec.zone_spread || spec.same_zone)) {
             break;  // the next page's places depend on these
         }
     }
@@ -149,7 +149,7 @@
         if (bytes > ctx_.value_max()) {
             break;  // its record takes no more
         }
-        offer->room -= job.spec.each;
+        offer->room -= job.spec.task_resources;
         offers_used.insert(offer);
         places.push_back({task, offer});
     }
@@ -164,7 +164,8 @@
     if (job.doubtful() && others > 0) {
         return false;
     }
-    return quota_.within_limit(job.spec.team, job.spec.each * static_cast<double>(chosen + 1));
+    return quota_.within_limit(job.spec.team,
+                               job.spec.task_resources * static_cast<double>(chosen + 1));
 }
 
 // Gives back places, the last first, until the team's quota covers the others.
@@ -173,8 +174,8 @@
     const JobSpec& spec = job.spec;
     while (!places.empty() &&
            !claim_writer_.cover_quota(target, spec.team,
-                                      spec.each * static_cast<double>(places.size()))) {
-        places.back().offer->room += spec.each;
+                                      spec.task_resources * static_cast<double>(places.size()))) {
+        places.back().offer->room += spec.task_resources;
         places.pop_back();
     }
 }
--- a/src/core/store/job_store.cpp
+++ b/src/core/store/job_store.cpp
@@ -204,7 +204,7 @@
             for (const auto& [task, placement] : block.placed) {
                 if (job.revision != 0) {
                     by_machine[placement.machine].tasks[{uid, task}] = {&job, &placement};
-                    by_machine[placement.machine].used += job.spec.each;
+                    by_machine[placement.machine].used += job.spec.task_resources;
                 }
             }
         }
--- a/src/core/store/job_store_records.cpp
+++ b/src/core/store/job_store_records.cpp
@@ -276,7 +276,7 @@
     if (it == jobs_.end() || parts == follow_parts_.end() || it->second.follow_parts == 0) {
         return;
     }
-    auto& follows = it->second.spec.follows;
+    auto& follows = it->second.spec.depends_on;
     follows.clear();
     for (const auto& [number, part] : parts->second) {
         if (number >= it->second.follow_parts) {
--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -14,8 +14,9 @@
 bool agree(const MachinePlacements& a, const MachinePlacements& b) {
     Resources gap = a.used - b.used;
     return std::equal(a.tasks.begin(), a.tasks.end(), b.tasks.begin(), b.tasks.end(), same_task) &&
-           std::abs(gap.cpus) < Resources::slack && std::abs(gap.gpus) < Resources::slack &&
-           std::abs(gap.memory_gb) < Resources::slack;
+           std::abs(gap.cpus) < Resources::rounding_tolerance &&
+           std::abs(gap.gpus) < Resources::rounding_tolerance &&
+           std::abs(gap.memory_gb) < Resources::rounding_tolerance;
 }
 }  // namespace
 
@@ -46,14 +47,14 @@
         MachinePlacements& machine = *entry(placement.machine);
         if (sign > 0) {
             machine.tasks[id] = {&job, &placement};
-            machine.used += job.spec.each;
+            machine.used += job.spec.task_resources;
         } else {
             machine.tasks.erase(id);
-            machine.used -= job.spec.each;
+            machine.used -= job.spec.task_resources;
         }
         touched_machines_.insert(placement.machine);
-        used_by_team_[job.spec.team] += job.spec.each * sign;
-        used_by_member_[{job.spec.team, placement.charge}] += job.spec.each * sign;
+        used_by_team_[job.spec.team] += job.spec.task_resources * sign;
+        used_by_member_[{job.spec.team, placement.charge}] += job.spec.task_resources * sign;
     }
 }
 
--- a/src/core/store/record_codec.cpp
+++ b/src/core/store/record_codec.cpp
@@ -287,9 +287,9 @@
               {"kind", static_cast<int>(s.kind)},
               {"priority", static_cast<int>(s.priority)},
               {"tasks", s.tasks},
-              {"each", amounts(s.each)},
-              {"together", s.together},
-              {"spread", s.spread},
+              {"each", amounts(s.task_resources)},
+              {"together", s.same_zone},
+              {"spread", s.zone_spread},
               {"spot", s.spot},
               {"image", s.image},
               {"image_gb", s.image_gb},
@@ -299,8 +299,8 @@
               {"submitted", job.submitted_wall},
               {"block_size", job.block_size},
               {"cancelled", job.cancelled_wall}};
-    if (s.types) {
-        v["types"] = *s.types;
+    if (s.machine_types) {
+        v["types"] = *s.machine_types;
     }
     if (s.zone) {
         v["zone"] = *s.zone;
@@ -316,7 +316,7 @@
         if (job.follow_parts > 0) {
             v["follow_parts"] = job.follow_parts;
         } else {
-            v["follows"] = s.follows;
+            v["follows"] = s.depends_on;
         }
     }
     if (job.ready_wall > 0) {
@@ -348,9 +348,9 @@
     s.kind = static_cast<JobKind>(v.at("kind").get<int>());
     s.priority = static_cast<Priority>(v.at("priority").get<int>());
     s.tasks = v.at("tasks").get<int>();
-    s.each = amounts(v.at("each"));
-    s.together = v.at("together").get<bool>();
-    s.spread = v.at("spread").get<bool>();
+    s.task_resources = amounts(v.at("each"));
+    s.same_zone = v.at("together").get<bool>();
+    s.zone_spread = v.at("spread").get<bool>();
     s.spot = v.at("spot").get<bool>();
     s.image = v.at("image").get<std::string>();
     s.image_gb = v.at("image_gb").get<double>();
@@ -358,7 +358,7 @@
     s.checkpoint_s = v.at("checkpoint_s").get<double>();
     s.save_s = v.at("save_s").get<double>();
     if (v.contains("types")) {
-        s.types = v.at("types").get<std::vector<std::string>>();
+        s.machine_types = v.at("types").get<std::vector<std::string>>();
     }
     if (v.contains("zone")) {
         s.zone = v.at("zone").get<std::string>();
@@ -376,7 +376,7 @@
         s.team = v.at("of_team").get<std::string>();
         job.follow_parts = v.value("follow_parts", 0);
         if (v.contains("follows")) {
-            s.follows = decode_follows(v);
+            s.depends_on = decode_follows(v);
         }
     }
     return job;
--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -20,8 +20,8 @@
     : done_(std::move(done)),
       client_(loop, settings.cloud_address, constants::cloud_connections,
               constants::cloud_answer_max),
-      budget_(settings.cloud_rps * constants::cloud_share,
-              settings.cloud_rps * constants::cloud_share),
+      budget_(settings.cloud_requests_per_s * constants::cloud_share,
+              settings.cloud_requests_per_s * constants::cloud_share),
       timer_(loop, [this] { send_queued(); }) {}
 
 void CloudClient::call(core::CloudCall call) {
@@ -36,14 +36,14 @@
 
 void CloudClient::send_queued() {
     double now = Loop::now().steady;
-    while (!queue_.empty() && budget_.has(now, 1)) {
+    while (!queue_.empty() && budget_.can_take(now, 1)) {
         budget_.take(1);
         core::CloudCall call = std::move(queue_.front());
         queue_.pop_front();
         send(call);
     }
     if (!queue_.empty()) {
-        timer_.start(std::max(timer_s_least, budget_.wait(now, 1)));
+        timer_.start(std::max(timer_s_least, budget_.wait_s(now, 1)));
     }
 }
 
--- a/src/io/cloud_client.hpp
+++ b/src/io/cloud_client.hpp
@@ -30,7 +30,7 @@
 
     Done done_;
     HttpClient client_;
-    core::RateBudget budget_;
+    core::TokenBucket budget_;
     std::deque<core::CloudCall> queue_;
     Timer timer_;
 };
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -21,11 +21,11 @@
       settings_(settings),
       controller_(controller),
       client_server_(
-          loop, settings.serve_on,
+          loop, settings.listen_address,
           static_cast<std::size_t>(settings.max_connections * constants::front_share),
           [this](std::uint64_t request, HttpMessage&& message) { serve_client(request, message); }),
       peer_server_(
-          loop, settings.back, constants::back_connections,
+          loop, settings.peer_listen_address, constants::back_connections,
           [this](std::uint64_t request, HttpMessage&& message) { serve_peer(request, message); }),
       store_(loop, settings,
              [this](std::uint64_t call, const core::StoreReply& reply) {
@@ -140,8 +140,8 @@
     }
     const core::PeerCall& call = decoded->call;
     controller_.peer_message(Loop::now(), decoded->from, call);
-    if (call.relay) {
-        controller_.report(Loop::now(), request, *call.relay, true);
+    if (call.relayed_heartbeat) {
+        controller_.report(Loop::now(), request, *call.relayed_heartbeat, true);
     } else {
         peer_server_.reply(request, http_status::ok, "");
     }
@@ -217,7 +217,7 @@
         controller_.peer_reply(Loop::now(), call.id, false, std::nullopt);
         return;
     }
-    double timeout_s = call.relay ? constants::relay_timeout_s : constants::peer_beat_s;
+    double timeout_s = call.relayed_heartbeat ? constants::relay_timeout_s : constants::peer_beat_s;
     peer->second->request(
         "POST", wire::peer_path, wire::encode_peer_call(settings_.name, call), timeout_s,
         [this, id = call.id](const HttpMessage* response) { handle_peer_response(id, response); });
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -27,15 +27,16 @@
 
 StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Done done)
     : done_(std::move(done)),
-      calls_(loop, settings.state_address, constants::state_connections,
+      calls_(loop, settings.store_address, constants::state_connections,
              constants::state_answer_max),
-      watches_(loop, settings.state_address, constants::watch_connections,
+      watches_(loop, settings.store_address, constants::watch_connections,
                constants::state_answer_max),
-      requests_(settings.state_rps * constants::state_rate_share,
-                settings.state_rps * constants::state_rate_share),
-      writes_(settings.state_write_rps * constants::state_write_share,
-              settings.state_write_rps * constants::state_write_share),
-      watch_requests_(settings.state_rps * constants::watch_share, constants::watch_burst),
+      requests_(settings.store_requests_per_s * constants::state_rate_share,
+                settings.store_requests_per_s * constants::state_rate_share),
+      writes_(settings.store_writes_per_s * constants::state_write_share,
+              settings.store_writes_per_s * constants::state_write_share),
+      watch_requests_(settings.store_requests_per_s * constants::watch_share,
+                      constants::watch_burst),
       timer_(loop, [this] { send_queued(); }) {}
 
 void StoreClient::call(core::StoreCall call) {
@@ -104,18 +105,18 @@
     done_(id, reply);
 }
 
-core::RateBudget& StoreClient::request_budget(const QueuedCall& queued) {
+core::TokenBucket& StoreClient::request_budget(const QueuedCall& queued) {
     return queued.is_watch() ? watch_requests_ : requests_;
 }
 
 bool StoreClient::fits_budget(const QueuedCall& queued, double now, bool writes_reserved) {
-    if (now < queued.not_before || !request_budget(queued).has(now, 1)) {
+    if (now < queued.not_before || !request_budget(queued).can_take(now, 1)) {
         return false;
     }
     if (queued.is_watch() || queued.writes() == 0) {
         return true;
     }
-    return !writes_reserved && writes_.has(now, queued.writes());
+    return !writes_reserved && writes_.can_take(now, queued.writes());
 }
 
 void StoreClient::take_budget(const QueuedCall& queued) {
@@ -127,8 +128,9 @@
 
 // Seconds until the budgets allow the call, if nothing else takes from them.
 double StoreClient::wait_s(const QueuedCall& queued, double now) {
-    double writes_wait_s = queued.is_watch() ? 0.0 : writes_.wait(now, queued.writes());
-    return std::max({queued.not_before - now, request_budget(queued).wait(now, 1), writes_wait_s});
+    double writes_wait_s = queued.is_watch() ? 0.0 : writes_.wait_s(now, queued.writes());
+    return std::max(
+        {queued.not_before - now, request_budget(queued).wait_s(now, 1), writes_wait_s});
 }
 
 void StoreClient::send(const QueuedCall& queued) {
--- a/src/io/store_client.hpp
+++ b/src/io/store_client.hpp
@@ -46,7 +46,7 @@
     bool fits_budget(const QueuedCall& queued, double now, bool writes_reserved);
     void take_budget(const QueuedCall& queued);
     double wait_s(const QueuedCall& queued, double now);
-    core::RateBudget& request_budget(const QueuedCall& queued);
+    core::TokenBucket& request_budget(const QueuedCall& queued);
     void send(const QueuedCall& queued);
     void handle_response(const QueuedCall& queued, const HttpMessage* response);
     void retry(QueuedCall queued);
@@ -54,9 +54,9 @@
     Done done_;
     HttpClient calls_;
     HttpClient watches_;
-    core::RateBudget requests_;
-    core::RateBudget writes_;
-    core::RateBudget watch_requests_;
+    core::TokenBucket requests_;
+    core::TokenBucket writes_;
+    core::TokenBucket watch_requests_;
     std::deque<QueuedCall> queue_;
     Timer timer_;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -57,7 +57,8 @@
         cranemoor::io::Loop loop;
         cranemoor::core::Controller controller(settings, tunables, boot_word());
         cranemoor::io::Gateway gateway(loop, settings, controller);
-        spdlog::info("{} in {} serves on {}", settings.name, settings.zone, settings.serve_on);
+        spdlog::info("{} in {} serves on {}", settings.name, settings.zone,
+                     settings.listen_address);
         gateway.start();
         loop.run();
     } catch (const std::exception& e) {
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -46,7 +46,7 @@
 CloudReply::Status error_status(int http_status) {
     switch (http_status) {
         case 400:
-            return CloudReply::Status::bad;
+            return CloudReply::Status::bad_request;
         case 429:
             return CloudReply::Status::refused;
         default:
@@ -99,7 +99,7 @@
             reply.machines = map.at("roosts").get<std::vector<std::string>>();
             break;
         case CloudCall::Kind::list:
-            reply.more = map.value("has_next", false);
+            reply.has_more = map.value("has_next", false);
             for (const auto& each : map.at("roosts")) {
                 if (auto machine = decode_listed_machine(each)) {
                     reply.listed.push_back(std::move(*machine));
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -34,7 +34,8 @@
                 {"wants", heartbeat.wants},
                 {"grant", enum_text(lease_grants, heartbeat.grant)}};
     for (const auto& cancellation : lease.cancelled) {
-        map["cancelled"].push_back({{"uid", cancellation.uid}, {"wall", cancellation.wall}});
+        map["cancelled"].push_back(
+            {{"uid", cancellation.uid}, {"wall", cancellation.cancelled_wall}});
     }
     return map;
 }
@@ -48,7 +49,7 @@
         Fields fields(each);
         Cancellation cancellation;
         cancellation.uid = fields.text("uid");
-        cancellation.wall = fields.amount("wall", 0, wall_s_max);
+        cancellation.cancelled_wall = fields.amount("wall", 0, wall_s_max);
         if (!fields.ok()) {
             return fields.error();
         }
@@ -111,15 +112,15 @@
     return notices;
 }
 
-Decoded<PressureSample> decode_pressure(const Json& map) {
+Decoded<OverloadSample> decode_overload_sample(const Json& map) {
     Fields fields(map);
-    PressureSample pressure;
-    pressure.write_wait_s = fields.amount("write_wait_s");
-    pressure.writes = fields.amount("writes");
+    OverloadSample overload_sample;
+    overload_sample.write_wait_s = fields.amount("write_wait_s");
+    overload_sample.writes_per_s = fields.amount("writes");
     if (!fields.ok()) {
         return fields.error();
     }
-    return pressure;
+    return overload_sample;
 }
 
 // Decodes a field with `decode` into `out`, unless it is missing or null. Returns the error, if
@@ -140,7 +141,7 @@
 
 // The parts that a call may or may not have.
 std::optional<DecodeError> decode_parts(const Json& map, PeerCall& call) {
-    if (auto error = decode_optional(map, "report", decode_heartbeat, call.relay)) {
+    if (auto error = decode_optional(map, "report", decode_heartbeat, call.relayed_heartbeat)) {
         return error;
     }
     if (auto error = decode_optional(map, "rentals", decode_launch_notices, call.launches)) {
@@ -149,22 +150,22 @@
     if (auto error = decode_optional(map, "lease", decode_lease_heartbeat, call.lease)) {
         return error;
     }
-    return decode_optional(map, "pressure", decode_pressure, call.pressure);
+    return decode_optional(map, "pressure", decode_overload_sample, call.overload_sample);
 }
 
 }  // namespace
 
 std::string encode_peer_call(const std::string& from, const PeerCall& call) {
-    Json map = {{"from", from}, {"state_contact", call.state_contact}};
-    if (call.relay) {
-        map["report"] = encode_heartbeat(*call.relay);
+    Json map = {{"from", from}, {"state_contact", call.has_store_contact}};
+    if (call.relayed_heartbeat) {
+        map["report"] = encode_heartbeat(*call.relayed_heartbeat);
     }
     for (const auto& notice : call.launches) {
         map["rentals"].push_back(encode_launch_notice(notice));
     }
-    if (call.pressure) {
-        map["pressure"] = {{"write_wait_s", call.pressure->write_wait_s},
-                           {"writes", call.pressure->writes}};
+    if (call.overload_sample) {
+        map["pressure"] = {{"write_wait_s", call.overload_sample->write_wait_s},
+                           {"writes", call.overload_sample->writes_per_s}};
     }
     if (call.lease) {
         map["lease"] = encode_lease_heartbeat(*call.lease);
@@ -180,7 +181,7 @@
     Fields fields(*map);
     PeerMessage message;
     message.from = fields.text("from");
-    message.call.state_contact = fields.flag("state_contact");
+    message.call.has_store_contact = fields.flag("state_contact");
     if (!fields.ok()) {
         return fields.error();
     }
@@ -193,7 +194,7 @@
 std::string encode_peer_reply(const WorkerReply& reply) {
     return encode_cbor({{"status", reply.status},
                         {"token", reply.token},
-                        {"home", reply.home},
+                        {"home", reply.owner},
                         {"commands", encode_commands(reply.commands)}});
 }
 
@@ -209,7 +210,7 @@
     WorkerReply reply;
     reply.status = static_cast<int>(fields.count("status", 200, 599));
     reply.token = fields.count("token");
-    reply.home = fields.is_null("home") ? "" : fields.text("home", Fields::text_bytes_max, 0);
+    reply.owner = fields.is_null("home") ? "" : fields.text("home", Fields::text_bytes_max, 0);
     if (!fields.ok()) {
         return fields.error();
     }
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -94,14 +94,14 @@
         case 503:
             return StoreReply::Status::refused;
         case 400:
-            return StoreReply::Status::bad;
+            return StoreReply::Status::bad_request;
         default:
             return StoreReply::Status::unknown;
     }
 }
 
 void read_items(Json& map, StoreReply& reply) {
-    reply.more = map.at("has_next").get<bool>();
+    reply.has_more = map.at("has_next").get<bool>();
     for (auto& item : map.at("items")) {
         reply.events.push_back({item.at("key").get<std::string>(), std::move(item.at("value")),
                                 read_count(item, "ripple")});
@@ -155,7 +155,7 @@
     reply.status = reply_status(http_status);
     reply.revision = map.contains("tide") ? read_count(map, "tide") : 0;
     if (reply.status == StoreReply::Status::conflict) {
-        reply.failed = map.value("failed", std::vector<std::string>());
+        reply.failed_keys = map.value("failed", std::vector<std::string>());
     }
     if (reply.status == StoreReply::Status::ok) {
         read_result(kind, map, reply);
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -54,26 +54,26 @@
     spec.kind = fields.choice("gait", job_kinds);
     spec.priority = fields.choice("rank", priorities);
     spec.tasks = static_cast<int>(fields.count("hatchlings", 1, tasks_max));
-    spec.each.cpus = fields.amount("cpus");
-    spec.each.gpus = fields.amount("gpus");
-    spec.each.memory_gb = fields.amount("mem_gb");
+    spec.task_resources.cpus = fields.amount("cpus");
+    spec.task_resources.gpus = fields.amount("gpus");
+    spec.task_resources.memory_gb = fields.amount("mem_gb");
     spec.image = fields.text("plumage");
     spec.image_gb = fields.amount("size_gb");
     if (!fields.is_null("breeds")) {
-        spec.types = fields.texts("breeds");
+        spec.machine_types = fields.texts("breeds");
     }
     if (!fields.is_null("marsh")) {
         spec.zone = fields.text("marsh");
     }
-    spec.together = fields.flag("together");
-    spec.spread = fields.flag("spread");
+    spec.same_zone = fields.flag("together");
+    spec.zone_spread = fields.flag("spread");
     spec.spot = fields.flag("driftwood");
     spec.estimate_s = fields.amount("flight_s");
     spec.checkpoint_s = fields.amount("nestmark_s");
     spec.save_s = fields.amount("preen_s");
     spec.deadline_s = fields.amount_or_null("dusk_s");
     if (!fields.is_null("follows")) {
-        spec.follows = read_dependencies(fields);
+        spec.depends_on = read_dependencies(fields);
     }
 }
 
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -77,7 +77,7 @@
         return fields.error();
     }
     if (task.state == TaskState::exited) {
-        task.why = read_exit_reason(map);
+        task.exit_reason = read_exit_reason(map);
     }
     task.saved = !fields.is_null("saved") && fields.flag("saved");
     return task;
@@ -86,7 +86,7 @@
 Json encode_task_status(const TaskStatus& task) {
     Json map = {{"hatchling", task.id.text()}, {"launch", task.attempt}};
     map["stance"] = enum_text(task_states, task.state);
-    const char* reason = enum_text(exit_reasons, task.why);
+    const char* reason = enum_text(exit_reasons, task.exit_reason);
     if (reason != nullptr) {
         map["cause"] = reason;
     }
@@ -122,7 +122,7 @@
     heartbeat.agent_epoch = fields.count("perch");
     heartbeat.seq = fields.count("call_seq");
     heartbeat.token = fields.count("crest");
-    heartbeat.notice_s = fields.amount_or_null("warning_s");
+    heartbeat.interruption_notice_s = fields.amount_or_null("warning_s");
     if (!fields.ok()) {
         return fields.error();
     }
@@ -157,7 +157,8 @@
                 {"driftwood", heartbeat.spot},   {"perch", heartbeat.agent_epoch},
                 {"call_seq", heartbeat.seq},     {"crest", heartbeat.token},
                 {"hatchlings", std::move(tasks)}};
-    map["warning_s"] = heartbeat.notice_s ? Json(*heartbeat.notice_s) : Json();
+    map["warning_s"] =
+        heartbeat.interruption_notice_s ? Json(*heartbeat.interruption_notice_s) : Json();
     return map;
 }
 
@@ -166,8 +167,8 @@
     if (reply.status == 200) {
         map["crest"] = reply.token;
         map["calls"] = encode_commands(reply.commands);
-    } else if (!reply.home.empty()) {
-        map["home_roost"] = reply.home;
+    } else if (!reply.owner.empty()) {
+        map["home_roost"] = reply.owner;
     }
     return encode_cbor(map);
 }
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -50,7 +50,7 @@
     int before = cluster.cloud.rentals;
     for (int i = 1; i <= 3; ++i) {
         auto gang = cluster.make_job(i, JobKind::gang);
-        gang.each = {60, 8, 400};
+        gang.task_resources = {60, 8, 400};
         cluster.submit_and_wait(0, gang);
     }
     cluster.run_for(3);
--- a/tests/cancellation_deadline_test.cpp
+++ b/tests/cancellation_deadline_test.cpp
@@ -1,6 +1,7 @@
 // Cancellations: from the moment at which its user is told, no task of the job starts, and within
-// cancel_s all of them are gone, whatever else goes wrong. The simulated cluster checks both after
-// every step, except for a machine that hangs: whether that one was released is asked here.
+// cancel_deadline_s all of them are gone, whatever else goes wrong. The simulated cluster checks
+// both after every step, except for a machine that hangs: whether that one was released is asked
+// here.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -13,7 +14,7 @@
         ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, uid(n))).state, "cancelled");
         told = cluster.now();
     }
-    double left() const { return told + cluster.settings.cancel_s - cluster.now(); }
+    double left() const { return told + cluster.settings.cancel_deadline_s - cluster.now(); }
     bool gone(const std::string& machine) { return cluster.machines[machine].deleted; }
     double told = 0;
     std::string doomed = "vm-50000a";
@@ -29,7 +30,7 @@
     cluster.run_for(0.5);
     cluster.faults.store_down = true;
     EXPECT_TRUE(cluster.run_until([&] { return gone(doomed); }, left()));
-    cluster.run_for(cluster.settings.cancel_s);
+    cluster.run_for(cluster.settings.cancel_deadline_s);
     EXPECT_EQ(cluster.running_tasks(uid(2)), 2);
     EXPECT_FALSE(gone("vm-50000b"));
     EXPECT_FALSE(gone("vm-50000c"));
@@ -44,7 +45,7 @@
     cluster.faults.cloud_down = true;
     cancelled(1);
     ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/x/").empty(); },
-                                  0.8 * cluster.settings.cancel_s));
+                                  0.8 * cluster.settings.cancel_deadline_s));
     cluster.faults.store_down = true;
     cluster.run_for(2);
     cluster.faults.cloud_down = false;
@@ -94,7 +95,7 @@
     // Claimed by another, and its owner was cut from the state service and its peers before the
     // machine reported: it answers its workers for a while yet, but starts nothing.
     auto gang = cluster.make_job(1, JobKind::gang, 3);
-    gang.each = {60, 8, 400};
+    gang.task_resources = {60, 8, 400};
     cluster.machines[doomed].loses_heartbeats = true;
     cluster.machines[doomed].only_node = 0;
     ASSERT_EQ(cluster.submit_and_wait(1, gang).status, 201);
@@ -113,7 +114,7 @@
     cluster.machines[doomed].target = 0;
     cluster.run_for(10);
     EXPECT_EQ(started, 0);
-    cluster.run_for(cluster.settings.cancel_s);
+    cluster.run_for(cluster.settings.cancel_deadline_s);
 }
 
 TEST_F(CancellationDeadlineTest, ItsMachineReachesNobodyButIsReached) {
@@ -151,14 +152,14 @@
     }
     void fill(int n, const char* team, int tasks) {
         auto s = cluster.make_job(n, JobKind::service, tasks);
-        s.each = {30, 4, 200};
+        s.task_resources = {30, 4, 200};
         s.team = team;
         ASSERT_EQ(cluster.submit_and_wait(1, s).status, 201);
         ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(n)) == tasks; }, 60));
     }
     void submit_next(int n, const char* team, int tasks) {
         auto s = cluster.make_job(n, JobKind::service, tasks);
-        s.each = {30, 4, 200};
+        s.task_resources = {30, 4, 200};
         s.team = team;
         cluster.submit(1, s);
     }
@@ -201,7 +202,7 @@
     constexpr int jobs = 240;
     for (int n = 1; n <= jobs; ++n) {
         auto s = cluster.make_job(n);
-        s.each = {1, 0.1, 1};
+        s.task_resources = {1, 0.1, 1};
         cluster.submit(n % 3, s);
         if (n % 4 == 0) {
             cluster.cancel((n + 1) % 3, uid(n - n % 8));
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -38,9 +38,9 @@
 }
 
 TEST_F(ThreeControllerClaimTest, AThousandMachinesCostABoundedNumberOfWrites) {
-    cluster.settings.report_s = 8;
+    cluster.settings.heartbeat_interval_s = 8;
     cluster.settings.lease_s = 42;
-    cluster.settings.cancel_s = 67;
+    cluster.settings.cancel_deadline_s = 67;
     cluster.settings.teams = {{"red", {0, 500, 0}, {0, 4000, 0}},
                               {"blue", {0, 500, 0}, {0, 4000, 0}}};
     for (int i = 0; i < 1000; ++i) {
@@ -56,8 +56,8 @@
         auto spec = cluster.make_job(i + 1, kind, kind == JobKind::array ? 24 : 2);
         spec.team = i % 2 == 0 ? "red" : "blue";
         if (kind == JobKind::gang) {
-            spec.each = {60, 8, 400};
-            spec.together = true;
+            spec.task_resources = {60, 8, 400};
+            spec.same_zone = true;
         }
         cluster.submit(i % 3, spec);
     }
@@ -110,7 +110,7 @@
     cluster.add_machine("vm-500001", "a");
     cluster.run_for(8);
     auto wide = cluster.make_job(1, JobKind::array, 30);
-    wide.each = {6, 0, 10};  // ten on each machine
+    wide.task_resources = {6, 0, 10};  // ten on each machine
     ASSERT_EQ(cluster.submit_and_wait(0, wide).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 20; }, 30));
     int before = cluster.store.writes_by_kind["c/b"];
@@ -165,7 +165,7 @@
     cluster.add_machine("vm-500001", "b");
     cluster.run_for(6);
     auto job = cluster.make_job(1, JobKind::array, 12);
-    job.together = true;
+    job.same_zone = true;
     cluster.submit_and_wait(0, job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 20));
     cluster.run_for(5);  // SimulatedCluster checks the zone at every start
--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -50,7 +50,7 @@
     /// Submits a job whose tasks fill half a machine each, and waits until it runs.
     void run_job(int n, JobKind kind, int tasks, const char* zone = nullptr) {
         auto s = cluster.make_job(n, kind, tasks);
-        s.each = {30, 4, 200};
+        s.task_resources = {30, 4, 200};
         if (zone != nullptr) {
             s.zone = zone;
         }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -21,23 +21,23 @@
     auto s = parse_settings(good, "s.toml");
     EXPECT_EQ(s.peers.at(0).name, "n1");
     EXPECT_EQ(s.teams.at(0).limit.gpus, 8.0);
-    EXPECT_EQ(s.state_rps, 150.0);  // whole numbers serve as amounts too
+    EXPECT_EQ(s.store_requests_per_s, 150.0);  // whole numbers serve as amounts too
     EXPECT_EQ(s.max_connections, 1800);
 }
 
 TEST(Settings, AnnouncedLimitsAreKeptToFromTheStart) {
     auto s = parse_settings(good, "s.toml");
-    EXPECT_EQ(s.state_value_kb, s.state_value_kb_today);
+    EXPECT_EQ(s.store_value_kb_max, s.store_current_value_kb_max);
     auto next = good + "[settings.state.next]\nwrite_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 4\n";
     s = parse_settings(next, "s.toml");
-    EXPECT_EQ(s.state_write_rps, 35.0);
-    EXPECT_EQ(s.state_value_kb, 2.0);
-    EXPECT_EQ(s.state_value_kb_today, 8.0);
-    EXPECT_EQ(s.state_txn_ops, 4);
+    EXPECT_EQ(s.store_writes_per_s, 35.0);
+    EXPECT_EQ(s.store_value_kb_max, 2.0);
+    EXPECT_EQ(s.store_current_value_kb_max, 8.0);
+    EXPECT_EQ(s.store_txn_ops_max, 4);
     // Only what is announced, and only what is smaller.
     s = parse_settings(good + "[settings.state.next]\nvalue_kb = 64\n", "s.toml");
-    EXPECT_EQ(s.state_value_kb, 8.0);
-    EXPECT_EQ(s.state_txn_ops, 12);
+    EXPECT_EQ(s.store_value_kb_max, 8.0);
+    EXPECT_EQ(s.store_txn_ops_max, 12);
     EXPECT_NE(error_of(good + "[settings.state.next]\ntxn_ops = 1\n").find("txn_ops"),
               std::string::npos);
 }
@@ -76,7 +76,7 @@
 
 TEST(Operators, ASilenceShorterThanTheReportsAreApartIsRefused) {
     core::Settings settings;
-    settings.report_s = 8;
+    settings.heartbeat_interval_s = 8;
     core::Tunables tunables;
     EXPECT_NO_THROW(check(settings, tunables));  // unset: it follows the settings
     tunables.silence_s = 30;
--- a/tests/delay_scheduling_test.cpp
+++ b/tests/delay_scheduling_test.cpp
@@ -60,7 +60,7 @@
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     auto first = cluster.make_job(1, JobKind::gang);
-    first.each = {60, 8, 400};
+    first.task_resources = {60, 8, 400};
     cluster.submit_and_wait(0, first);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
     cluster.add_machine("vm-500001", "a");
@@ -68,7 +68,7 @@
         [&] { return cluster.controller(0).agent_manager().registry().adopted("vm-500001"); }, 20));
     cluster.run_for(1);
     auto gang = cluster.make_job(2, JobKind::gang, 2);
-    gang.each = first.each;
+    gang.task_resources = first.task_resources;
     cluster.submit_and_wait(0, gang);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.store.find("c/b/req-000002/0") != nullptr; },
                                   Tunables().locality_wait_s - 1));
--- a/tests/delayed_claim_test.cpp
+++ b/tests/delayed_claim_test.cpp
@@ -62,7 +62,7 @@
     cluster.run_for(1);
     auto submit = [&](int n, int tasks, Resources each) {
         auto s = cluster.make_job(n, JobKind::array, tasks);
-        s.each = each;
+        s.task_resources = each;
         ASSERT_EQ(cluster.submit_and_wait(0, s).status, 201);
     };
     submit(1, 30, {1, 0.1, 1});  // much is needed of the first record
@@ -70,7 +70,7 @@
     ASSERT_EQ(cluster.store.keys("c/s/").size(), 1U);
     int held = 0;
     cluster.faults.transaction_hold_s = [&](const Txn& txn) {
-        bool claims = txn.purpose == Txn::Purpose::sheet && !txn.conditions.empty() &&
+        bool claims = txn.purpose == Txn::Purpose::claim_batch && !txn.conditions.empty() &&
                       std::any_of(txn.conditions.begin(), txn.conditions.end(),
                                   [](const Condition& c) { return c.key == "c/b/req-000002/0"; });
         return claims && held++ == 0 ? 8.0 : 0.0;
@@ -108,7 +108,7 @@
                     true, {3, 2, 2});  // the leading member thinks otherwise now and then
             }
             auto s = cluster.make_job(n, JobKind::array, 2 + n % 5);
-            s.each = {2, 0.5, 4};
+            s.task_resources = {2, 0.5, 4};
             cluster.submit(n % 3, s);
             cluster.run_for(0.7);
         }
--- a/tests/dependent_job_fixture.hpp
+++ b/tests/dependent_job_fixture.hpp
@@ -20,7 +20,7 @@
                   int tasks = 1) {
         auto spec = cluster.make_job(number, kind, tasks);
         for (int o : others) {
-            spec.follows.push_back(uid(o));
+            spec.depends_on.push_back(uid(o));
         }
         return spec;
     }
--- a/tests/dependent_job_test.cpp
+++ b/tests/dependent_job_test.cpp
@@ -112,7 +112,7 @@
     EXPECT_EQ(late.state, "cancelled");
     EXPECT_TRUE(cluster.run_until([&] { return over(6); }, 5));
     EXPECT_EQ(cluster.poll_and_wait(1, uid(6)).state, "cancelled");
-    cluster.run_for(cluster.settings.cancel_s + 5);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 5);
     for (int n : {1, 2, 3, 5, 6}) {
         EXPECT_EQ(cluster.poll_and_wait(2, uid(n)).state, "cancelled");
         EXPECT_EQ(cluster.running_tasks(uid(n)), 0);
@@ -139,7 +139,7 @@
         cluster.kill(i);
     }
     ASSERT_FALSE(over(3));
-    cluster.run_for(cluster.settings.cancel_s + 1);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 1);
     cluster.start(1);
     for (int i = 0; i < 400 && !over(3); ++i) {
         cluster.poll(1, uid(3));  // the rule is checked with each answer
@@ -179,7 +179,7 @@
         cluster.run_for(0.002 * n);
         cluster.cancel(2, uid(n + 1));
     }
-    cluster.run_for(cluster.settings.cancel_s + 10);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 10);
     for (int n = 2; n <= 16; n += 2) {
         EXPECT_TRUE(over(n));
     }
@@ -212,8 +212,8 @@
 }
 
 TEST_F(DependentJobTest, ALongListOfFollowedJobsIsWrittenInParts) {
-    cluster.settings.state_value_kb = cluster.settings.state_value_kb_today = 2;
-    cluster.settings.state_txn_ops = 4;
+    cluster.settings.store_value_kb_max = cluster.settings.store_current_value_kb_max = 2;
+    cluster.settings.store_txn_ops_max = 4;
     begin(3);
     cluster.workers.task_run_s = 60;
     std::vector<int> all;
@@ -226,7 +226,7 @@
     }
     cluster.run_for(2);
     auto last = after(1000, all);
-    last.follows.push_back(uid(1));
+    last.depends_on.push_back(uid(1));
     ASSERT_EQ(cluster.submit_and_wait(0, last).status, 201);
     EXPECT_GE(cluster.store.keys("c/l/" + uid(1000)).size(), 2U);
     for (int i = 0; i < 3; ++i) {
--- a/tests/fake_key_value_store.cpp
+++ b/tests/fake_key_value_store.cpp
@@ -76,7 +76,7 @@
             break;
         }
         if (reply.events.size() == list_page_size) {
-            reply.more = true;
+            reply.has_more = true;
             break;
         }
         reply.events.push_back({it->first, it->second.value, it->second.revision});
@@ -87,11 +87,11 @@
 StoreReply FakeKeyValueStore::commit(const Txn& txn) {
     StoreReply reply;
     if (!is_well_formed(txn)) {
-        reply.status = StoreReply::Status::bad;
+        reply.status = StoreReply::Status::bad_request;
         return reply;
     }
-    reply.failed = failed_conditions(txn);
-    if (!reply.failed.empty()) {
+    reply.failed_keys = failed_conditions(txn);
+    if (!reply.failed_keys.empty()) {
         reply.status = StoreReply::Status::conflict;
         reply.revision = revision_;
         conflicting_transactions.push_back(txn);
@@ -105,7 +105,7 @@
 
 bool FakeKeyValueStore::is_well_formed(const Txn& txn) {
     auto operations =
-        static_cast<std::size_t>(transaction_operation_limit.value_or(settings_.state_txn_ops));
+        static_cast<std::size_t>(transaction_operation_limit.value_or(settings_.store_txn_ops_max));
     if (txn.writes.size() > operations || txn.conditions.size() > 4 * operations) {
         invariants_.violations.emplace_back("transaction too large");
         return false;
@@ -115,7 +115,7 @@
 }
 
 bool FakeKeyValueStore::is_well_formed(const Write& write) {
-    double limit_bytes = value_limit_kb.value_or(settings_.state_value_kb_today) * 1024;
+    double limit_bytes = value_limit_kb.value_or(settings_.store_current_value_kb_max) * 1024;
     if (write.value && static_cast<double>(write.value->dump().size()) > limit_bytes) {
         invariants_.violations.push_back("value too large: " + write.key);
         return false;
--- a/tests/fake_worker.cpp
+++ b/tests/fake_worker.cpp
@@ -18,7 +18,7 @@
 
 void exit_task(FakeTask& task, ExitReason why) {
     task.state = TaskState::exited;
-    task.why = why;
+    task.exit_reason = why;
 }
 }  // namespace
 
@@ -102,12 +102,12 @@
     if (present == ledger_.specs[id.uid].tasks) {
         task.state = TaskState::running;
         task.ends_at = simulation_.now() + task_run_s;
-    } else if (simulation_.now() > task.ready_at + settings_.gang_wait_s) {
+    } else if (simulation_.now() > task.ready_at + settings_.gang_start_timeout_s) {
         exit_task(task, ExitReason::incomplete);
     }
 }
 
-// A gang's tasks save together: all must be told within gang_peer_s of the first.
+// A gang's tasks save together: all must be told within gang_stop_window_s of the first.
 void FakeWorkers::save_gang(const TaskId& id, FakeTask& task) {
     int told = 0;
     double first = never_s;
@@ -121,7 +121,7 @@
         }
     }
     const JobSpec& spec = ledger_.specs.at(id.uid);
-    if (simulation_.now() >= first + settings_.gang_peer_s && told < spec.tasks) {
+    if (simulation_.now() >= first + settings_.gang_stop_window_s && told < spec.tasks) {
         exit_task(task, ExitReason::peers_gone);
     } else if (simulation_.now() >= task.told_at + spec.save_s && told == spec.tasks) {
         exit_task(task, ExitReason::stopped);
@@ -212,7 +212,7 @@
         exit_task(task, ExitReason::unknown_task);
     } else if (is_busy) {
         exit_task(task, ExitReason::busy);
-    } else if (!spec->second.each.fits_in(left)) {
+    } else if (!spec->second.task_resources.fits_in(left)) {
         exit_task(task, ExitReason::no_room);
     } else {
         bool has_image = worker.images.contains(spec->second.image);
@@ -226,7 +226,7 @@
     for (const auto& [id, attempts] : worker.tasks) {
         for (const auto& [attempt, task] : attempts) {
             if (is_live(task)) {
-                left -= ledger_.specs[id.uid].each;
+                left -= ledger_.specs[id.uid].task_resources;
             }
         }
     }
@@ -242,11 +242,11 @@
                         worker.session,
                         ++worker.seq,
                         worker.fencing_token,
-                        worker.notice_s,
+                        worker.interruption_notice_s,
                         {}};
     for (const auto& [id, attempts] : worker.tasks) {
         for (const auto& [attempt, task] : attempts) {
-            heartbeat.tasks.push_back({id, attempt, task.state, task.why, task.saved});
+            heartbeat.tasks.push_back({id, attempt, task.state, task.exit_reason, task.saved});
         }
     }
     return heartbeat;
--- a/tests/fake_worker.hpp
+++ b/tests/fake_worker.hpp
@@ -24,7 +24,7 @@
 struct FakeTask {
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
-    ExitReason why = ExitReason::none;
+    ExitReason exit_reason = ExitReason::none;
     bool saved = false;        ///< has written a checkpoint
     double ready_at = 0;       ///< s; its image is there
     double ends_at = never_s;  ///< s
@@ -55,8 +55,8 @@
     std::uint64_t seq = 0;                                      ///< of its last heartbeat
     double lease_from = 0;                                      ///< s
     std::map<TaskId, std::map<std::uint64_t, FakeTask>> tasks;  ///< by task and attempt
-    std::optional<double> notice_s;  ///< s until its spot machine is taken back
-    std::set<std::string> images;    ///< that it has fetched
+    std::optional<double> interruption_notice_s;  ///< s until its spot machine is taken back
+    std::set<std::string> images;                 ///< that it has fetched
 
     // Its heartbeats.
     std::size_t target = 0;  ///< node that it sends them to
--- a/tests/fault_combination_test.cpp
+++ b/tests/fault_combination_test.cpp
@@ -67,7 +67,7 @@
     cluster.kill(0);
     cluster.run_for(1);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, uid(1))).state, "cancelled");
-    cluster.run_for(cluster.settings.cancel_s * 1.2);
+    cluster.run_for(cluster.settings.cancel_deadline_s * 1.2);
     EXPECT_EQ(attempts(1), 0);
 }
 
@@ -169,7 +169,7 @@
         [&] { return attempts(1) == 0 || cluster.running_tasks(uid(1)) == 0; }, 10));
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) == 1; }, 60));
     cluster.start(0);
-    cluster.run_for(cluster.settings.cancel_s);
+    cluster.run_for(cluster.settings.cancel_deadline_s);
     EXPECT_EQ(cluster.running_tasks(uid(2)), 1);
 }
 
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -157,7 +157,7 @@
                    {"call_seq", 88},       {"crest", 41},
                    {"warning_s", 12.5},    {"hatchlings", {task}}};
     core::PeerCall relay;
-    relay.relay = wire::decode_heartbeat(report).to_optional();
+    relay.relayed_heartbeat = wire::decode_heartbeat(report).to_optional();
     core::LeaseHeartbeat& said = relay.lease.emplace();
     said.heartbeat.boot = said.heartbeat.heard_boot = "b1";
     said.heartbeat.grant = read_leases::Grant::full;
@@ -198,8 +198,9 @@
     if (s) {
         EXPECT_TRUE(wire::is_valid_uid(s->uid));
         EXPECT_TRUE(s->tasks >= 1 && s->tasks <= 100000);
-        for (double amount : {s->each.cpus, s->each.gpus, s->each.memory_gb, s->image_gb,
-                              s->estimate_s, s->checkpoint_s}) {
+        for (double amount :
+             {s->task_resources.cpus, s->task_resources.gpus, s->task_resources.memory_gb,
+              s->image_gb, s->estimate_s, s->checkpoint_s}) {
             EXPECT_TRUE(std::isfinite(amount) && amount >= 0);
         }
     } else {
@@ -267,9 +268,9 @@
         }
         try {
             auto s = config::parse_settings(text, "s.toml");
-            EXPECT_GE(s.state_txn_ops, 3);
+            EXPECT_GE(s.store_txn_ops_max, 3);
             EXPECT_GE(s.max_connections, 16);
-            EXPECT_GT(s.report_s, 0);
+            EXPECT_GT(s.heartbeat_interval_s, 0);
         } catch (const config::Error& e) {
             EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
         }
--- a/tests/gang_preemption_test.cpp
+++ b/tests/gang_preemption_test.cpp
@@ -16,7 +16,7 @@
                                 std::string(1, static_cast<char>('a' + i % 3)));
         }
         auto job = cluster.make_job(1, JobKind::gang, 4);
-        job.each = {33, 5, 200};
+        job.task_resources = {33, 5, 200};
         job.priority = Priority::high;
         job.checkpoint_s = 20;
         job.save_s = 2;
@@ -25,7 +25,7 @@
     }
     JobSpec replica() {
         auto job = cluster.make_job(2, JobKind::service, 1);
-        job.each = {33, 5, 200};
+        job.task_resources = {33, 5, 200};
         job.priority = Priority::production;
         return job;
     }
@@ -81,13 +81,13 @@
         cluster.add_machine("vm-50000" + std::to_string(i), "a", true);
     }
     auto job = cluster.make_job(1, JobKind::gang, 4);
-    job.each = {33, 5, 200};
+    job.task_resources = {33, 5, 200};
     job.spot = true;
     job.checkpoint_s = 20;
     job.save_s = 2;
     cluster.submit_and_wait(0, job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(gang) == 4; }, 30));
-    cluster.machines.at("vm-500002").notice_s = 20;
+    cluster.machines.at("vm-500002").interruption_notice_s = 20;
     cluster.run_for(25);
     EXPECT_EQ(cluster.workers.checkpointed_gangs, std::set<std::string>{gang});
 }
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -9,8 +9,8 @@
 TEST_F(ThreeControllerGangSchedulingTest, AGangStartsWholeAlsoOnMachinesOfSeveralMembers) {
     begin(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
-    gang.each = {60, 8, 400};
-    gang.spread = true;
+    gang.task_resources = {60, 8, 400};
+    gang.zone_spread = true;
     cluster.submit_and_wait(0, gang);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 60));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
@@ -20,7 +20,7 @@
     cluster.workers.task_run_s = 60;
     begin(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
-    gang.each = {60, 8, 400};
+    gang.task_resources = {60, 8, 400};
     cluster.submit_and_wait(0, gang);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 60));
     cluster.machines[cluster.machines_running("req-000001")[1]].is_hung = true;
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -25,14 +25,14 @@
     begin();
     auto reply = cluster.send_heartbeat(0, bare_heartbeat("vm-100000", "a", 999, 1));
     EXPECT_EQ(reply.status, 421);
-    EXPECT_EQ(reply.home, "");
+    EXPECT_EQ(reply.owner, "");
 }
 
 TEST_F(ThreeControllerHeartbeatTest, AnothersMachineIsSentHomeAndRelayedIfItComesBack) {
     begin(3);
     auto sent = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 1));
     EXPECT_EQ(sent.status, 421);
-    EXPECT_EQ(sent.home, "n0");  // of its own zone
+    EXPECT_EQ(sent.owner, "n0");  // of its own zone
     // It is back: its owner can't be reached from there.
     auto relayed = cluster.send_heartbeat(1, bare_heartbeat("vm-100000", "a", 0, 2));
     EXPECT_EQ(relayed.status, 200);
@@ -56,7 +56,7 @@
     // Found on an operations day: reports come back by way of the others a moment later than
     // silence is told, and their answers were kept open longer than the relay waits: 132 healthy
     // machines were released in ten seconds.
-    cluster.settings.report_s = 4;
+    cluster.settings.heartbeat_interval_s = 4;
     begin(3);
     cluster.cloud.capacity = 0;
     for (int i = 0; i < 60; ++i) {
@@ -64,7 +64,7 @@
                             cluster.settings.zones[static_cast<std::size_t>(i) % 3]);
     }
     auto large = cluster.make_job(1, JobKind::service, 60);
-    large.each = {40, 5, 300};  // one to a machine
+    large.task_resources = {40, 5, 300};  // one to a machine
     cluster.submit_and_wait(0, large);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 60; }, 60));
     int up = cluster.cloud.machine_count();
@@ -109,7 +109,7 @@
         cluster.add_machine(fmt::format("vm-5000{:02}", i), "a");
     }
     auto large = cluster.make_job(1, JobKind::service, 12);
-    large.each = {40, 5, 300};
+    large.task_resources = {40, 5, 300};
     cluster.submit_and_wait(0, large);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 12; }, 60));
     Token token = cluster.controller(0).context().fencing_token;
@@ -165,9 +165,9 @@
 }
 
 TEST_F(HeartbeatTest, LongReportIntervalsDoNotLookLikeSilence) {
-    cluster.settings.report_s = 8;
+    cluster.settings.heartbeat_interval_s = 8;
     cluster.settings.lease_s = 42;
-    cluster.settings.cancel_s = 67;
+    cluster.settings.cancel_deadline_s = 67;
     begin();
     cluster.add_machine("vm-500000", "a");
     cluster.cloud.capacity = 0;
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -45,7 +45,7 @@
             if (other_id == id) {
                 violations.push_back("ran_twice: " + id.text());
             }
-            if (other_id.uid == id.uid && spec.together && other.info.zone != worker.info.zone) {
+            if (other_id.uid == id.uid && spec.same_zone && other.info.zone != worker.info.zone) {
                 violations.push_back("wrong_place (together): " + id.text());
             }
         });
@@ -57,7 +57,7 @@
         machines_, [&](const FakeWorker& /*worker*/, const TaskId& id, const FakeTask& /*task*/) {
             const JobSpec& other = ledger_.specs[id.uid];
             if (other.team == spec.team) {
-                used += other.each;
+                used += other.task_resources;
             }
         });
     for (const auto& team : settings_.teams) {
@@ -79,7 +79,7 @@
 
 void InvariantChecker::check_placement(const FakeWorker& worker, const TaskId& id,
                                        const JobSpec& spec) {
-    if (spec.spread && live_tasks_in_zone(id.uid, worker.info.zone) > (spec.tasks + 1) / 2) {
+    if (spec.zone_spread && live_tasks_in_zone(id.uid, worker.info.zone) > (spec.tasks + 1) / 2) {
         violations.push_back("wrong_place (spread): " + id.text());
     }
     if ((spec.zone && *spec.zone != worker.info.zone) || (worker.info.spot && !spec.spot)) {
@@ -88,7 +88,7 @@
 }
 
 void InvariantChecker::check_order(const TaskId& id, const JobSpec& spec) {
-    for (const auto& dependency : spec.follows) {
+    for (const auto& dependency : spec.depends_on) {
         auto completed = static_cast<int>(ledger_.completed_tasks[dependency].size());
         if (completed < ledger_.specs[dependency].tasks) {
             violations.push_back("too_early: " + id.text());
@@ -98,7 +98,8 @@
 
 bool InvariantChecker::is_past_cancel_deadline(const std::string& uid) const {
     auto it = ledger_.cancelled_at.find(uid);
-    return it != ledger_.cancelled_at.end() && simulation_.now() > it->second + settings_.cancel_s;
+    return it != ledger_.cancelled_at.end() &&
+           simulation_.now() > it->second + settings_.cancel_deadline_s;
 }
 
 void InvariantChecker::check_cancelled_jobs() {
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -20,7 +20,8 @@
 
     /// Checks a task that has just been started on a worker: once only, quota, placement, order.
     void check_start(const FakeWorker& worker, const TaskId& id);
-    /// Checks that no task of a cancelled job runs longer than cancel_s after its confirmation.
+    /// Checks that no task of a cancelled job runs longer than cancel_deadline_s after its
+    /// confirmation.
     void check_cancelled_jobs();
     /// Checks a reply to a user against the jobs' true states.
     void check_user_reply(const UserReply& reply);
--- a/tests/job_cancellation_test.cpp
+++ b/tests/job_cancellation_test.cpp
@@ -45,7 +45,7 @@
     cluster.machines[place].is_unreachable = true;
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000001")).state, "cancelled");
     EXPECT_TRUE(cluster.run_until([&] { return cluster.machines[place].deleted; },
-                                  cluster.settings.cancel_s));
+                                  cluster.settings.cancel_deadline_s));
 }
 
 }  // namespace
--- a/tests/job_ledger.hpp
+++ b/tests/job_ledger.hpp
@@ -32,7 +32,7 @@
         }
         auto spec = specs.find(uid);
         return spec != specs.end() &&
-               std::any_of(spec->second.follows.begin(), spec->second.follows.end(),
+               std::any_of(spec->second.depends_on.begin(), spec->second.depends_on.end(),
                            [&](const auto& dependency) {
                                return holds_for_job_or_dependency(dependency, holds);
                            });
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -29,7 +29,7 @@
     // Submits a job whose tasks take a share of a machine's eight parts; users try again.
     void submit(int n, JobKind kind, int tasks, double parts, const char* zone = nullptr) {
         auto s = cluster.make_job(n, kind, tasks);
-        s.each = {7 * parts, parts, 50 * parts};
+        s.task_resources = {7 * parts, parts, 50 * parts};
         if (zone != nullptr) {
             s.zone = zone;
         }
@@ -193,7 +193,7 @@
     cluster.users.verify_each_reply = true;
     for (int n = 1; n <= 24; ++n) {
         auto s = cluster.make_job(n, n % 4 == 0 ? JobKind::gang : JobKind::array, 1 + n % 3);
-        s.each = {21, 3, 150};
+        s.task_resources = {21, 3, 150};
         s.priority = std::array{Priority::best_effort, Priority::normal, Priority::high,
                                 Priority::production}[static_cast<std::size_t>(n % 4)];
         s.image = "img-0" + std::to_string(n % 3);
--- a/tests/lowered_limit_test.cpp
+++ b/tests/lowered_limit_test.cpp
@@ -14,34 +14,35 @@
 struct LoweredLimitTest : ThreeControllerTest {
     static constexpr int tasks = 128;
     static Json listed(const JobSpec& s, int block_size) {
-        return {{"uid", s.uid},
-                {"class", s.job_class},
-                {"team", s.team},
-                {"kind", static_cast<int>(s.kind)},
-                {"priority", static_cast<int>(s.priority)},
-                {"tasks", s.tasks},
-                {"each", {s.each.cpus, s.each.gpus, s.each.memory_gb}},
-                {"together", s.together},
-                {"spread", s.spread},
-                {"spot", s.spot},
-                {"image", s.image},
-                {"image_gb", s.image_gb},
-                {"estimate_s", s.estimate_s},
-                {"checkpoint_s", s.checkpoint_s},
-                {"save_s", s.save_s},
-                {"submitted", 1.7e9},
-                {"block_size", block_size},
-                {"cancelled", 0.0}};
+        return {
+            {"uid", s.uid},
+            {"class", s.job_class},
+            {"team", s.team},
+            {"kind", static_cast<int>(s.kind)},
+            {"priority", static_cast<int>(s.priority)},
+            {"tasks", s.tasks},
+            {"each", {s.task_resources.cpus, s.task_resources.gpus, s.task_resources.memory_gb}},
+            {"together", s.same_zone},
+            {"spread", s.zone_spread},
+            {"spot", s.spot},
+            {"image", s.image},
+            {"image_gb", s.image_gb},
+            {"estimate_s", s.estimate_s},
+            {"checkpoint_s", s.checkpoint_s},
+            {"save_s", s.save_s},
+            {"submitted", 1.7e9},
+            {"block_size", block_size},
+            {"cancelled", 0.0}};
     }
     JobSpec big() {
         auto s = cluster.make_job(1, JobKind::array, tasks);
-        s.each = {1, 0, 1};
+        s.task_resources = {1, 0, 1};
         return s;
     }
     void write_records(const JobSpec& s) {
-        cluster.settings.state_value_kb = 2;
-        cluster.settings.state_value_kb_today = 8;
-        cluster.settings.state_txn_ops = 4;
+        cluster.settings.store_value_kb_max = 2;
+        cluster.settings.store_current_value_kb_max = 8;
+        cluster.settings.store_txn_ops_max = 4;
         cluster.users.add_submitted(s);
         Json jobs = Json::array({listed(s, 128)});
         for (int n = 2; n <= 12; ++n) {
@@ -161,7 +162,7 @@
 
 TEST_F(LoweredLimitTest, PagesOfASpreadJobShareItsRule) {
     auto s = big();
-    s.spread = true;
+    s.zone_spread = true;
     s.tasks = 60;
     cluster.workers.task_run_s = 1000;
     write_records(big());
@@ -222,15 +223,15 @@
 
 TEST_F(LoweredLimitTest, ANewJobKeepsToTheNewLimitsFromTheStart) {
     // The stand-in refuses whatever is larger, and a refusal fails the test.
-    cluster.settings.state_value_kb = 2;
-    cluster.settings.state_txn_ops = 4;
+    cluster.settings.store_value_kb_max = 2;
+    cluster.settings.store_txn_ops_max = 4;
     lower();
     begin(3);
     cluster.workers.task_run_s = 10;
     auto wide = cluster.make_job(3, JobKind::array, 10);
-    wide.types = std::vector<std::string>{"t8"};
+    wide.machine_types = std::vector<std::string>{"t8"};
     for (int i = 0; i < 300; ++i) {
-        wide.types->push_back("nowhere-" + std::to_string(i));
+        wide.machine_types->push_back("nowhere-" + std::to_string(i));
     }
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 150)).status, 201);
     EXPECT_EQ(cluster.submit_and_wait(1, cluster.make_job(2, JobKind::gang, 8)).status, 201);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -144,7 +144,7 @@
     // A zone that stays away is given up in the end.
     cut(true);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.cloud.machine_count() <= 24; },
-                                  cluster.settings.cancel_s + 60));
+                                  cluster.settings.cancel_deadline_s + 60));
 }
 
 }  // namespace
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -73,7 +73,7 @@
         sweep();
     }
     auto gang = cluster.make_job(1000, JobKind::gang, 2);
-    gang.each = {32, 8, 64};
+    gang.task_resources = {32, 8, 64};
     gang.job_class = "gang";
     cluster.submit(0, gang);
     cluster.run_for(constants::floor_after_s);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,9 +11,9 @@
 TEST_F(ThreeControllerPlacementTest, SpreadTogetherAndZoneAreKept) {
     begin(3);
     auto spread = cluster.make_job(1, JobKind::service, 5);
-    spread.spread = true;
+    spread.zone_spread = true;
     auto together = cluster.make_job(2, JobKind::array, 5);
-    together.together = true;
+    together.same_zone = true;
     auto zoned = cluster.make_job(3, JobKind::service, 2);
     zoned.zone = "c";
     cluster.submit_and_wait(0, spread);
@@ -110,7 +110,7 @@
 TEST_F(PlacementTest, ASpotMachineUnderNoticeGetsNothingNew) {
     begin();
     cluster.cloud.capacity = 0;
-    cluster.add_machine("vm-500000", "a", true).notice_s = 20;
+    cluster.add_machine("vm-500000", "a", true).interruption_notice_s = 20;
     auto job = cluster.make_job(1, JobKind::service);
     job.spot = true;
     cluster.submit_and_wait(0, job);
@@ -145,7 +145,7 @@
             stopped.insert(c.id);
         }
     };
-    spot.notice_s = 20;
+    spot.interruption_notice_s = 20;
     ASSERT_TRUE(cluster.run_until(
         [&] {
             return cluster.controller(0)
--- a/tests/priority_test.cpp
+++ b/tests/priority_test.cpp
@@ -36,7 +36,7 @@
     cluster.add_machine("vm-500000", "a");
     auto sweep = cluster.make_job(1, JobKind::array, 10);
     sweep.priority = Priority::best_effort;
-    sweep.each = {16, 0, 16};
+    sweep.task_resources = {16, 0, 16};
     sweep.spot = true;
     cluster.submit_and_wait(0, sweep);
     cluster.run_for(15);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -249,7 +249,7 @@
     ended.id.uid = "req-000001";
     ended.attempt = start_call->at("launch").get<std::uint64_t>();
     ended.state = core::TaskState::exited;
-    ended.why = core::ExitReason::done;
+    ended.exit_reason = core::ExitReason::done;
     report.tasks.push_back(ended);
     EXPECT_TRUE(
         ask("POST", "/hello", wire::encode_cbor(wire::encode_heartbeat(report)), is(200), 1));
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -20,8 +20,8 @@
     cluster.workers.task_run_s = 15;
     cluster.tunables.final_states = 4;  // so that they are moved as well
     if (GetParam() % 2 == 0) {
-        cluster.settings.state_value_kb = 2;
-        cluster.settings.state_txn_ops = 4;
+        cluster.settings.store_value_kb_max = 2;
+        cluster.settings.store_txn_ops_max = 4;
     }
     cluster.start_all();
     cluster.faults.lost_reply_probability = 0.03;
@@ -39,8 +39,8 @@
                                               {1 + pick(3), 1 + pick(3), 1 + pick(3)});
         }
         if (step == 60) {
-            cluster.store.value_limit_kb = cluster.settings.state_value_kb;
-            cluster.store.transaction_operation_limit = cluster.settings.state_txn_ops;
+            cluster.store.value_limit_kb = cluster.settings.store_value_kb_max;
+            cluster.store.transaction_operation_limit = cluster.settings.store_txn_ops_max;
         }
         switch (pick(20)) {
             case 0:
@@ -110,7 +110,7 @@
                     cluster.run_for(0.1 * pick(10));
                 }
                 cluster.faults.store_down = true;
-                cluster.run_for(pick(2) * cluster.settings.cancel_s);
+                cluster.run_for(pick(2) * cluster.settings.cancel_deadline_s);
                 break;
             case 12:
                 for (auto& [name, m] : cluster.machines) {
@@ -149,11 +149,11 @@
                 auto spec = cluster.make_job(step + 1, kind, 1 + pick(4));
                 if (kind == JobKind::array && pick(6) == 0) {
                     spec.tasks = 60;  // of several blocks
-                    spec.each = {1, 0, 1};
+                    spec.task_resources = {1, 0, 1};
                 }
                 spec.team = pick(2) == 0 ? "red" : "blue";
-                spec.spread = pick(3) == 0;
-                spec.together = !spec.spread && pick(3) == 0;
+                spec.zone_spread = pick(3) == 0;
+                spec.same_zone = !spec.zone_spread && pick(3) == 0;
                 spec.spot = pick(3) == 0;
                 spec.image = "img-0" + std::to_string(pick(3));
                 for (int i = pick(3); i > 0 && !jobs.empty(); --i) {
@@ -161,7 +161,7 @@
                         jobs[static_cast<std::size_t>(pick(static_cast<int>(jobs.size())))];
                     // Services are never named, and users name only what was accepted.
                     if (!cluster.users.is_service(other) && cluster.is_accepted(other)) {
-                        spec.follows.push_back(other);
+                        spec.depends_on.push_back(other);
                     }
                 }
                 cluster.submit(node, spec);
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -82,7 +82,7 @@
     ASSERT_EQ(start.commands.size(), 1U);  // and its response is lost
     cluster.faults.nodes_refused_by_store.insert(0);
     auto notice = bare_heartbeat("vm-100000", "a", token, 3);
-    notice.notice_s = 20;
+    notice.interruption_notice_s = 20;
     cluster.send_heartbeat(0, notice);
     ASSERT_TRUE(cluster.run_until(
         [&] { return !cluster.controller(1).context().jobs.epoch()->find("n0"); }, 10));
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -15,18 +15,18 @@
 Settings small_site() {
     Settings settings;
     settings.zones = {"a", "b", "c"};
-    settings.clock_off_s = 0.25;
+    settings.clock_error_max_s = 0.25;
     settings.teams = {{"red", {0, 8, 0}, {0, 16, 0}}, {"blue", {0, 8, 0}, {0, 0, 0}}};
-    settings.report_s = 3;
+    settings.heartbeat_interval_s = 3;
     settings.lease_s = 24;
-    settings.gang_wait_s = 30;
-    settings.gang_peer_s = 4;
-    settings.cancel_s = 44;
-    settings.state_rps = 200;
-    settings.state_write_rps = 50;
-    settings.state_value_kb = settings.state_value_kb_today = 8;
-    settings.state_txn_ops = 12;
-    settings.cloud_rps = 5;
+    settings.gang_start_timeout_s = 30;
+    settings.gang_stop_window_s = 4;
+    settings.cancel_deadline_s = 44;
+    settings.store_requests_per_s = 200;
+    settings.store_writes_per_s = 50;
+    settings.store_value_kb_max = settings.store_current_value_kb_max = 8;
+    settings.store_txn_ops_max = 12;
+    settings.cloud_requests_per_s = 5;
     return settings;
 }
 }  // namespace
@@ -121,7 +121,7 @@
 
 void SimulatedCluster::send_heartbeat_without_read_lease(int node) {
     PeerCall message;
-    message.state_contact = true;
+    message.has_store_contact = true;
     for (int peer = 0; peer < node_count(); ++peer) {
         if (peer != node) {
             deliver(peer, [=, this](Controller& controller) {
@@ -148,7 +148,7 @@
     spec.team = "blue";
     spec.kind = kind;
     spec.tasks = tasks;
-    spec.each = {4, 1, 16};
+    spec.task_resources = {4, 1, 16};
     spec.image = "img-01";
     spec.image_gb = 1;
     spec.estimate_s = workers.task_run_s;
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -247,7 +247,7 @@
                 message.lease.reset();
             }
             controller.peer_message(time(), node_name(node), message);
-            if (call.relay) {
+            if (call.relayed_heartbeat) {
                 relay_heartbeat(node, generation, call, controller);
             }
         });
@@ -265,7 +265,7 @@
             });
         });
     };
-    relaying.report(time(), request, *call.relay, true);
+    relaying.report(time(), request, *call.relayed_heartbeat, true);
 }
 
 // --- heartbeats of workers
@@ -281,7 +281,7 @@
 void SimulatedCluster::send_heartbeat(FakeWorker& worker) {
     worker.in_flight = true;
     worker.sent_at = now();
-    worker.next_report = now() + settings.report_s;
+    worker.next_report = now() + settings.heartbeat_interval_s;
     Heartbeat heartbeat = FakeWorkers::make_heartbeat(worker);
     int node = static_cast<int>(worker.target);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
@@ -392,8 +392,8 @@
 void SimulatedCluster::redirect_worker(FakeWorker& worker, int node,
                                        const WorkerReply& reply) const {
     bool names_another =
-        reply.status == http_misdirected && !reply.home.empty() && reply.home != node_name(node);
-    int next = names_another ? node_of(reply.home) : (node + 1) % node_count();
+        reply.status == http_misdirected && !reply.owner.empty() && reply.owner != node_name(node);
+    int next = names_another ? node_of(reply.owner) : (node + 1) % node_count();
     worker.target = static_cast<std::size_t>(next);
     worker.next_report = now() + (names_another ? redirect_pause_s : retry_pause_s);
 }
--- a/tests/staggered_outage_test.cpp
+++ b/tests/staggered_outage_test.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 // The state service refuses one controller alone, another confirms a cancellation, then
-// the service is down for all, for longer than cancel_s, while workers keep reporting to the first.
+// the service is down for all, for longer than cancel_deadline_s, while workers keep reporting to
+// the first.
 struct StaggeredOutageTest : ThreeZoneTest {
     static constexpr int old_leader = 0;
     std::string doomed = "req-000001";
@@ -20,8 +21,8 @@
         ThreeZoneTest::SetUp();
         auto spec = [&](int n) {
             auto s = cluster.make_job(n, JobKind::service, 3);
-            s.each = {30, 4, 200};
-            s.spread = true;
+            s.task_resources = {30, 4, 200};
+            s.zone_spread = true;
             return s;
         };
         ASSERT_EQ(cluster.submit_and_wait(1, spec(1)).status, 201);
@@ -56,7 +57,7 @@
 
 TEST_F(StaggeredOutageTest, CancelledTasksAreGoneInTimeAndNothingElseIsLost) {
     refuse_and_cancel();
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     EXPECT_EQ(cluster.machines_running(other), places);  // no lease was lost for it
     all_is_well_again();
@@ -64,7 +65,7 @@
 
 TEST_F(StaggeredOutageTest, TheSameWhenTheOldLeaderWasRemovedMeanwhile) {
     refuse_and_cancel(8);
-    outage(cluster.settings.cancel_s * 1.2);
+    outage(cluster.settings.cancel_deadline_s * 1.2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     EXPECT_EQ(cluster.machines_running(other), places);
     all_is_well_again();
@@ -83,7 +84,7 @@
         5));
     cluster.faults.store_down = true;
     ASSERT_EQ(cluster.wait_for_reply(asked).state, "cancelled");
-    cluster.run_for(cluster.settings.cancel_s * 2);
+    cluster.run_for(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     EXPECT_EQ(cluster.machines_running(other), places);
     all_is_well_again();
@@ -96,7 +97,7 @@
     cluster.kill(1);
     cluster.run_for(0.3);
     cluster.start(1);
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     all_is_well_again();
 }
@@ -105,7 +106,7 @@
     refuse_and_cancel(1, {0, 2});  // nobody else has read of it
     cluster.faults.store_down = true;
     cluster.kill(1);
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     cluster.start(1);
     all_is_well_again();
@@ -114,7 +115,7 @@
 TEST_F(StaggeredOutageTest, TheControllersDoNotReachEachOtherEither) {
     cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
     refuse_and_cancel();
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     all_is_well_again();
 }
@@ -122,7 +123,7 @@
 TEST_F(StaggeredOutageTest, AControllerOfAVersionBeforeSaysNothingOfLeases) {
     cluster.faults.nodes_without_read_leases = {1};
     refuse_and_cancel();
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     all_is_well_again();
 }
@@ -135,7 +136,7 @@
     cluster.pause(old_leader);
     cluster.run_for(20);
     cluster.resume(old_leader);
-    cluster.run_for(cluster.settings.cancel_s * 2);
+    cluster.run_for(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     all_is_well_again();
 }
@@ -149,7 +150,7 @@
         cluster.run_for(0.3);
         cluster.start(i);
     }
-    cluster.run_for(cluster.settings.cancel_s * 2);
+    cluster.run_for(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     all_is_well_again();
 }
@@ -157,7 +158,7 @@
 TEST_F(StaggeredOutageTest, AMachineOfTheOldLeaderIsDeafMeanwhile) {
     refuse_and_cancel(0.5);
     cluster.machines["vm-50000a"].loses_replies = true;
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     cluster.machines["vm-50000a"].loses_replies = false;
     all_is_well_again();
@@ -179,7 +180,7 @@
     ASSERT_TRUE(cluster.run_until(
         [&] { return cluster.wait_for_reply(cluster.cancel(1, doomed)).state == "cancelled"; },
         20));
-    cluster.run_for(cluster.settings.cancel_s * 1.5);
+    cluster.run_for(cluster.settings.cancel_deadline_s * 1.5);
     EXPECT_EQ(cluster.running_tasks(doomed), 0);
     cluster.faults.nodes_cut_from_workers.clear();
     all_is_well_again();
@@ -208,7 +209,7 @@
     // The machines of those that were restarted are nobody's until the outage is over.
     std::vector<std::string> still = cluster.machines_running(other);
     EXPECT_NE(std::find(still.begin(), still.end(), "vm-50000a"), still.end());
-    cluster.run_for(cluster.settings.cancel_s);
+    cluster.run_for(cluster.settings.cancel_deadline_s);
     still = cluster.machines_running(other);
     EXPECT_NE(std::find(still.begin(), still.end(), "vm-50000a"), still.end());
     cluster.faults.store_down = false;
@@ -218,13 +219,13 @@
 
 TEST_F(StaggeredOutageTest, AJobOfSeveralBlocksThatIsCancelledMeanwhile) {
     auto large = cluster.make_job(3, JobKind::array, 400);
-    large.each = {0.05, 0, 0.1};
+    large.task_resources = {0.05, 0, 0.1};
     ASSERT_EQ(cluster.submit_and_wait(1, large).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000003") == 400; }, 60));
     cluster.faults.nodes_refused_by_store = {old_leader};
     cluster.run_for(1);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(2, "req-000003")).state, "cancelled");
-    outage(cluster.settings.cancel_s * 2);
+    outage(cluster.settings.cancel_deadline_s * 2);
     EXPECT_EQ(cluster.running_tasks("req-000003"), 0);
     EXPECT_EQ(cluster.machines_running(other), places);
 }
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -29,10 +29,10 @@
     io::Loop loop;
     std::vector<std::string> order;
     core::Settings settings;
-    settings.state_address = local(free_port());
-    settings.state_rps = 1000;
-    settings.state_write_rps = 100;  // of which one controller uses sixty a second
-    io::HttpServer server(loop, settings.state_address, 16, [&](std::uint64_t r, auto&& m) {
+    settings.store_address = local(free_port());
+    settings.store_requests_per_s = 1000;
+    settings.store_writes_per_s = 100;  // of which one controller uses sixty a second
+    io::HttpServer server(loop, settings.store_address, 16, [&](std::uint64_t r, auto&& m) {
         auto body = *wire::decode_cbor(m.body);
         order.push_back(body.at("then").at(0).at("put").template get<std::string>());
         server.reply(r, 200, wire::encode_cbor({{"tide", 1}}));
@@ -46,11 +46,11 @@
     });
     client.call(change(1, 60, core::Urgency::normal));  // takes all there is
     for (std::uint64_t id = 2; id <= 4; ++id) {
-        client.call(change(id, 1, core::Urgency::last));
+        client.call(change(id, 1, core::Urgency::low));
     }
     client.call(change(5, 20, core::Urgency::normal));
     client.call(change(6, 1, core::Urgency::normal));
-    client.call(change(7, 1, core::Urgency::first));
+    client.call(change(7, 1, core::Urgency::high));
     client.call(change(8, 1, core::Urgency::normal));
     loop.run();
     // With several connections only the order of sending is sure, and they go one by one here.
--- a/tests/submission_test.cpp
+++ b/tests/submission_test.cpp
@@ -38,7 +38,7 @@
     bad_team.team = "green";
     EXPECT_EQ(cluster.submit_and_wait(0, bad_team).status, 422);
     auto too_big = cluster.make_job(2);
-    too_big.each.gpus = 9;
+    too_big.task_resources.gpus = 9;
     EXPECT_EQ(cluster.submit_and_wait(0, too_big).status, 422);
     auto gang = cluster.make_job(3, JobKind::gang, 17);  // the team's limit is 16 GPUs
     gang.team = "red";
@@ -49,8 +49,8 @@
 }
 
 TEST_F(SubmissionTest, AGangThatOneChangeCanNotClaimIsRefusedAndTheLargestOthersStart) {
-    cluster.settings.state_value_kb = cluster.settings.state_value_kb_today = 2;
-    cluster.settings.state_txn_ops = 4;
+    cluster.settings.store_value_kb_max = cluster.settings.store_current_value_kb_max = 2;
+    cluster.settings.store_txn_ops_max = 4;
     cluster.store.value_limit_kb = 2;
     cluster.store.transaction_operation_limit = 4;
     begin();
@@ -231,7 +231,7 @@
 
 TEST_F(SubmissionTest, UsersWhoAskForWhatNobodySubmittedDoNotCrowdOutOthers) {
     // Guards against polls many times as often as usual: each unknown uid is a read.
-    cluster.settings.state_rps = 50;
+    cluster.settings.store_requests_per_s = 50;
     begin();
     std::vector<std::uint64_t> asked;
     asked.reserve(200);
--- a/tests/user_reply_test.cpp
+++ b/tests/user_reply_test.cpp
@@ -17,7 +17,7 @@
     // Jobs of more tasks than one block holds have a record of their own.
     JobSpec large(int n) {
         auto s = cluster.make_job(n, JobKind::array, 200);
-        s.each = {0.05, 0, 0.1};
+        s.task_resources = {0.05, 0, 0.1};
         return s;
     }
     void accept(const JobSpec& spec, int node = 1) {
@@ -53,7 +53,7 @@
     for (double before_s : {0.6, 0.1, 0.02, 0.0, -0.02, -0.1, -0.6}) {
         for (auto kind : {JobKind::array, JobKind::gang}) {
             auto spec = cluster.make_job(++n, kind, 2);
-            spec.each = {1, 0, 1};
+            spec.task_resources = {1, 0, 1};
             accept(spec, n % 3);
             ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(n)) == 2; }, 30));
             cluster.run_for(cluster.workers.task_run_s - 0.05 - before_s);
@@ -100,7 +100,7 @@
     cluster.workers.task_run_s = 3;
     for (int n = 1; n <= 40; ++n) {
         auto spec = cluster.make_job(n, n % 4 == 0 ? JobKind::gang : JobKind::array, 1 + n % 3);
-        spec.each = {1, 0, 1};
+        spec.task_resources = {1, 0, 1};
         cluster.submit(n % 3, spec);
         if (n % 3 == 0) {
             cluster.run_for(0.001 * n);
@@ -153,7 +153,7 @@
     accept(cluster.make_job(1));
     for (int n = 2; n < 30; ++n) {
         auto waits = cluster.make_job(n);
-        waits.follows = {uid(1)};
+        waits.depends_on = {uid(1)};
         accept(waits);
     }
     accept(large(900));
@@ -185,7 +185,7 @@
     EXPECT_EQ(cluster.wait_for_reply(cluster.submit_malformed(0, uid(1))).status, 400);
     EXPECT_EQ(cluster.poll_and_wait(1, uid(1)).status, 404);
     auto vast = cluster.make_job(2);
-    vast.each = {4, 900, 16};
+    vast.task_resources = {4, 900, 16};
     EXPECT_EQ(cluster.submit_and_wait(1, vast).status, 422);
     EXPECT_EQ(cluster.submit_and_wait(2, vast).status, 422);
     EXPECT_FALSE(cluster.is_accepted(uid(2)));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -32,7 +32,7 @@
     EXPECT_EQ(s->kind, JobKind::gang);
     EXPECT_EQ(s->priority, Priority::high);
     EXPECT_EQ(s->tasks, 16);
-    EXPECT_EQ(s->types, std::vector<std::string>{"g8"});
+    EXPECT_EQ(s->machine_types, std::vector<std::string>{"g8"});
     EXPECT_FALSE(s->zone);
     EXPECT_EQ(s->deadline_s, 900.0);
 }
@@ -98,11 +98,11 @@
     auto v = submission();
     for (const Json& none : {Json(nullptr), Json::array()}) {
         v["follows"] = none;
-        EXPECT_TRUE(decode_submission(encode_cbor(v))->follows.empty());
+        EXPECT_TRUE(decode_submission(encode_cbor(v))->depends_on.empty());
     }
     v["follows"] = {"req-000405", "req-000398", "req-000405"};
     std::vector<std::string> once = {"req-000398", "req-000405"};
-    EXPECT_EQ(decode_submission(encode_cbor(v))->follows, once);
+    EXPECT_EQ(decode_submission(encode_cbor(v))->depends_on, once);
     for (const Json& wrong :
          {Json("req-000398"), Json({1}), Json({"req-000398", ""}), Json({"000398"})}) {
         v["follows"] = wrong;
@@ -172,9 +172,9 @@
     auto back = decode_heartbeat(*decode_cbor(encode_cbor(encode_heartbeat(r))));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->agent_epoch, 2U);
-    EXPECT_EQ(back->notice_s, 7.5);
+    EXPECT_EQ(back->interruption_notice_s, 7.5);
     ASSERT_EQ(back->tasks.size(), 2U);
-    EXPECT_EQ(back->tasks[1].why, ExitReason::stopped);
+    EXPECT_EQ(back->tasks[1].exit_reason, ExitReason::stopped);
     EXPECT_TRUE(back->tasks[1].saved);
     WorkerReply reply{0, 200, 41, "", {{Command::Kind::stop, {"req-000412", 3}, 2, 10}}};
     auto answer = decode_peer_reply(encode_peer_reply(reply));
@@ -185,7 +185,7 @@
 
 TEST(Wire, AHeartbeatCarriesWhatIsSaidOfLeasesAndNoneIsOfAVersionBefore) {
     PeerCall call;
-    call.state_contact = true;
+    call.has_store_contact = true;
     auto before = decode_peer_call(encode_peer_call("n1", call));
     ASSERT_TRUE(before);
     EXPECT_FALSE(before->call.lease);
@@ -205,7 +205,7 @@
     EXPECT_EQ(w.grant, read_leases::Grant::full);
     ASSERT_EQ(read->call.lease->cancelled.size(), 1U);
     EXPECT_EQ(read->call.lease->cancelled[0].uid, "req-000412");
-    EXPECT_EQ(read->call.lease->cancelled[0].wall, 1.7e9 + 0.25);
+    EXPECT_EQ(read->call.lease->cancelled[0].cancelled_wall, 1.7e9 + 0.25);
     auto odd = *decode_cbor(encode_peer_call("n1", call));
     odd["lease"]["grant"] = "perhaps";
     EXPECT_FALSE(decode_peer_call(encode_cbor(odd)));
@@ -223,7 +223,7 @@
     cause["hatchlings"] = {
         {{"hatchling", "req-000412/1"}, {"launch", 1}, {"stance", "ended"}, {"cause", "meteor"}}};
     ASSERT_TRUE(decode_heartbeat(cause));  // a cause of a later version still ends the task
-    EXPECT_EQ(decode_heartbeat(cause)->tasks[0].why, ExitReason::other);
+    EXPECT_EQ(decode_heartbeat(cause)->tasks[0].exit_reason, ExitReason::other);
 }
 
 TEST(Wire, StateAnswersByStatus) {
