--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -37,8 +37,8 @@
     double pages = 1 + std::floor(static_cast<double>(agent_manager_.registry().machines().size()) /
                                   constants::machine_listing_page_machines_max);
     double requests_per_s =
-        ctx_.settings.cloud_rps * (leader ? constants::leader_listing_request_share
-                                          : constants::non_leader_listing_request_share);
+        ctx_.settings.cloud_requests_per_s * (leader ? constants::leader_listing_request_share
+                                                     : constants::non_leader_listing_request_share);
     double interval_s =
         leader ? constants::leader_listing_interval_s : constants::non_leader_listing_interval_s;
     return std::max({interval_s, ctx_.settings.list_lag_s * constants::listing_interval_lag_factor,
@@ -65,7 +65,7 @@
             return;
         }
         agent_manager_.apply_cloud_listing(reply.listed);
-        if (reply.more && !reply.listed.empty()) {
+        if (reply.has_more && !reply.listed.empty()) {
             request_listing_page(reply.listed.back().name);
         } else {
             listing_complete_ = true;
--- a/src/core/model/constants.hpp
+++ b/src/core/model/constants.hpp
@@ -24,7 +24,7 @@
     /// about a megabyte of memory, and four pages to read at a start.
     double final_states_max = 4000;
     /// Time without a heartbeat after which a machine is probed and then fenced; 0: derived from
-    /// the setting `report_s`.
+    /// the setting `heartbeat_interval_s`.
     double worker_timeout_s = 0;
 };
 
@@ -128,7 +128,7 @@
 /// Time beyond its longest duration after which a watch without answer is opened again. Watches
 /// stay open during an outage, so this must not be short.
 inline constexpr double watch_timeout_margin_s = 2.0;
-/// Share of the request limit for the watches that a controller opens again, see `RateBudget`.
+/// Share of the request limit for the watches that a controller opens again, see `TokenBucket`.
 inline constexpr double watch_request_share = 0.12;
 /// Interval between read checks (compare-only transactions) of a controller.
 inline constexpr double read_check_interval_s = 0.04;
@@ -277,7 +277,7 @@
 /// How long the reply to a machine with room is held open while nothing ends there, so that a new
 /// job starts at once: below the workers' 4 s by what a slow controller and the network may take.
 inline constexpr double idle_heartbeat_reply_hold_s = 3.0;
-/// Longest time between two heartbeats, as a multiple of the setting `report_s`.
+/// Longest time between two heartbeats, as a multiple of the setting `heartbeat_interval_s`.
 inline constexpr double heartbeat_interval_factor = 1.25;
 /// Time beyond that after which a machine counts as silent. A timeout of 4 s at one controller is
 /// covered by the probe, which takes this long.
@@ -331,8 +331,8 @@
 /// Interval between releases that a member requests without contact with the key-value store: the
 /// cloud allows a few calls a second, of which each member takes one.
 inline constexpr double unrecorded_release_interval_s = 1.0;
-/// Fraction of the setting `cancel_s` after which a machine that still has a cancelled task is
-/// fenced.
+/// Fraction of the setting `cancel_deadline_s` after which a machine that still has a cancelled
+/// task is fenced.
 inline constexpr double cancel_fence_share = 0.4;
 /// The same if its owner has just taken it over and may still hear that the task has ended: late
 /// enough for the longest time between heartbeats, and early enough for a release that is repeated.
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -27,15 +27,15 @@
 
 StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Done done)
     : done_(std::move(done)),
-      calls_(loop, settings.state_address, constants::store_connections_max,
+      calls_(loop, settings.store_address, constants::store_connections_max,
              constants::store_response_bytes_max),
-      watches_(loop, settings.state_address, constants::watch_connections_max,
+      watches_(loop, settings.store_address, constants::watch_connections_max,
                constants::store_response_bytes_max),
-      requests_(settings.state_rps * constants::store_request_share,
-                settings.state_rps * constants::store_request_share),
-      writes_(settings.state_write_rps * constants::store_write_share,
-              settings.state_write_rps * constants::store_write_share),
-      watch_requests_(settings.state_rps * constants::watch_request_share,
+      requests_(settings.store_requests_per_s * constants::store_request_share,
+                settings.store_requests_per_s * constants::store_request_share),
+      writes_(settings.store_writes_per_s * constants::store_write_share,
+              settings.store_writes_per_s * constants::store_write_share),
+      watch_requests_(settings.store_requests_per_s * constants::watch_request_share,
                       constants::watch_requests_burst_max),
       timer_(loop, [this] { send_queued(); }) {}
 
@@ -105,18 +105,18 @@
     done_(id, reply);
 }
 
-core::RateBudget& StoreClient::request_budget(const QueuedCall& queued) {
+core::TokenBucket& StoreClient::request_budget(const QueuedCall& queued) {
     return queued.is_watch() ? watch_requests_ : requests_;
 }
 
 bool StoreClient::fits_budget(const QueuedCall& queued, double now, bool writes_reserved) {
-    if (now < queued.not_before || !request_budget(queued).has(now, 1)) {
+    if (now < queued.not_before || !request_budget(queued).can_take(now, 1)) {
         return false;
     }
     if (queued.is_watch() || queued.writes() == 0) {
         return true;
     }
-    return !writes_reserved && writes_.has(now, queued.writes());
+    return !writes_reserved && writes_.can_take(now, queued.writes());
 }
 
 void StoreClient::take_budget(const QueuedCall& queued) {
@@ -128,8 +128,9 @@
 
 // Seconds until the budgets allow the call, if nothing else takes from them.
 double StoreClient::wait_s(const QueuedCall& queued, double now) {
-    double writes_wait_s = queued.is_watch() ? 0.0 : writes_.wait(now, queued.writes());
-    return std::max({queued.not_before - now, request_budget(queued).wait(now, 1), writes_wait_s});
+    double writes_wait_s = queued.is_watch() ? 0.0 : writes_.wait_s(now, queued.writes());
+    return std::max(
+        {queued.not_before - now, request_budget(queued).wait_s(now, 1), writes_wait_s});
 }
 
 void StoreClient::send(const QueuedCall& queued) {
--- a/tests/cluster_fixtures.hpp
+++ b/tests/cluster_fixtures.hpp
@@ -49,7 +49,7 @@
     /// Submits a job whose tasks take half of a machine each, and waits until all of them run.
     void run_job(int number, JobKind kind, int tasks, const char* zone = nullptr) {
         auto spec = cluster.make_job(number, kind, tasks);
-        spec.each = {30, 4, 200};
+        spec.task_resources = {30, 4, 200};
         if (zone != nullptr) {
             spec.zone = zone;
         }
--- a/tests/dependent_job_fixture.hpp
+++ b/tests/dependent_job_fixture.hpp
@@ -20,7 +20,7 @@
                           JobKind kind = JobKind::array, int tasks = 1) {
         auto spec = cluster.make_job(number, kind, tasks);
         for (int dependency : dependencies) {
-            spec.follows.push_back(job_uid(dependency));
+            spec.depends_on.push_back(job_uid(dependency));
         }
         return spec;
     }
--- a/tests/dependent_job_test.cpp
+++ b/tests/dependent_job_test.cpp
@@ -114,7 +114,7 @@
     EXPECT_EQ(late.state, "cancelled");
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(6); }, 5));
     EXPECT_EQ(cluster.poll_and_wait(1, job_uid(6)).state, "cancelled");
-    cluster.run_for(cluster.settings.cancel_s + 5);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 5);
     for (int n : {1, 2, 3, 5, 6}) {
         EXPECT_EQ(cluster.poll_and_wait(2, job_uid(n)).state, "cancelled");
         EXPECT_EQ(cluster.running_tasks(job_uid(n)), 0);
@@ -141,7 +141,7 @@
         cluster.kill(i);
     }
     ASSERT_FALSE(is_job_finished(3));
-    cluster.run_for(cluster.settings.cancel_s + 1);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 1);
     cluster.start(1);
     for (int i = 0; i < 400 && !is_job_finished(3); ++i) {
         cluster.poll(1, job_uid(3));  // the rule is checked with each answer
@@ -181,7 +181,7 @@
         cluster.run_for(0.002 * n);
         cluster.cancel(2, job_uid(n + 1));
     }
-    cluster.run_for(cluster.settings.cancel_s + 10);
+    cluster.run_for(cluster.settings.cancel_deadline_s + 10);
     for (int n = 2; n <= 16; n += 2) {
         EXPECT_TRUE(is_job_finished(n));
     }
@@ -214,8 +214,8 @@
 }
 
 TEST_F(DependentJobTest, ALongListOfFollowedJobsIsWrittenInParts) {
-    cluster.settings.state_value_kb = cluster.settings.state_value_kb_today = 2;
-    cluster.settings.state_txn_ops = 4;
+    cluster.settings.store_value_kb_max = cluster.settings.store_current_value_kb_max = 2;
+    cluster.settings.store_txn_ops_max = 4;
     start_cluster(3);
     cluster.workers.task_run_s = 60;
     std::vector<int> all;
@@ -228,7 +228,7 @@
     }
     cluster.run_for(2);
     auto last = dependent_job(1000, all);
-    last.follows.push_back(job_uid(1));
+    last.depends_on.push_back(job_uid(1));
     ASSERT_EQ(cluster.submit_and_wait(0, last).status, 201);
     EXPECT_GE(cluster.store.keys("c/l/" + job_uid(1000)).size(), 2U);
     for (int i = 0; i < 3; ++i) {
--- a/tests/fake_worker.hpp
+++ b/tests/fake_worker.hpp
@@ -24,7 +24,7 @@
 struct FakeTask {
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
-    ExitReason why = ExitReason::none;
+    ExitReason exit_reason = ExitReason::none;
     bool saved = false;                    ///< has written a checkpoint
     double ready_at_s = 0;                 ///< when its image is fetched
     double ends_at_s = never_s;            ///< when it completes by itself
@@ -56,7 +56,7 @@
     double lease_start_s = 0;
     std::map<TaskId, std::map<std::uint64_t, FakeTask>> tasks;  ///< by task and attempt
     std::optional<double>
-        notice_s;                  ///< seconds until its spot interruption; unset without a notice
+        interruption_notice_s;     ///< seconds until its spot interruption; unset without a notice
     std::set<std::string> images;  ///< fetched so far
 
     // Heartbeats.
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -21,8 +21,8 @@
     /// Checks a task that was just started on a worker: no second live attempt, quota, placement,
     /// dependencies and cancellation.
     void check_start(const FakeWorker& worker, const TaskId& id);
-    /// Checks that no task of a cancelled job runs later than cancel_s after the cancellation was
-    /// confirmed to a user.
+    /// Checks that no task of a cancelled job runs later than cancel_deadline_s after the
+    /// cancellation was confirmed to a user.
     void check_cancelled_jobs();
     /// Checks a reply to a user against the ledger.
     void check_user_reply(const UserReply& reply);
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -249,7 +249,7 @@
                 message.lease.reset();
             }
             controller.peer_message(time(), node_name(node), message);
-            if (call.relay) {
+            if (call.relayed_heartbeat) {
                 relay_heartbeat(node, generation, call, controller);
             }
         });
@@ -267,7 +267,7 @@
             });
         });
     };
-    receiver.report(time(), request, *call.relay, true);
+    receiver.report(time(), request, *call.relayed_heartbeat, true);
 }
 
 // --- heartbeats of workers
@@ -283,7 +283,7 @@
 void SimulatedCluster::send_heartbeat(FakeWorker& worker) {
     worker.in_flight = true;
     worker.sent_at_s = now();
-    worker.next_heartbeat_at_s = now() + settings.report_s;
+    worker.next_heartbeat_at_s = now() + settings.heartbeat_interval_s;
     Heartbeat heartbeat = FakeWorkers::make_heartbeat(worker);
     int node = static_cast<int>(worker.target_node);
     bool is_lost = worker.is_unreachable || worker.loses_heartbeats ||
@@ -394,8 +394,8 @@
 void SimulatedCluster::redirect_worker(FakeWorker& worker, int node,
                                        const WorkerReply& reply) const {
     bool names_other_node =
-        reply.status == http_misdirected && !reply.home.empty() && reply.home != node_name(node);
-    int next_node = names_other_node ? node_of(reply.home) : (node + 1) % node_count();
+        reply.status == http_misdirected && !reply.owner.empty() && reply.owner != node_name(node);
+    int next_node = names_other_node ? node_of(reply.owner) : (node + 1) % node_count();
     worker.target_node = static_cast<std::size_t>(next_node);
     worker.next_heartbeat_at_s = now() + (names_other_node ? redirect_delay_s : retry_delay_s);
 }
