--- a/src/core/agents/agent_manager.cpp
+++ b/src/core/agents/agent_manager.cpp
@@ -63,7 +63,7 @@
     }
     job_arrivals_.note(uid, *job);
     job_failures_.note(uid, *job);
-    if (!job->cancelled && !GangPreemption::is_incomplete(*job) && !job->stopping()) {
+    if (!job->cancelled && !GangPreemption::is_incomplete(*job) && !job->gang_stop_requested()) {
         return;  // a job of many thousand tasks changes many times a second
     }
     job->each_placement([&](int task, const Placement& placement) {
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -174,7 +174,8 @@
 
 bool AgentRegistry::should_start(const Machine& machine, const Job& job) const {
     return !job.cancelled && !job.final && !site(machine).mark && !machine.release_mark_pending &&
-           !machine.interruption_deadline && !GangPreemption::is_incomplete(job) && !job.stopping();
+           !machine.interruption_deadline && !GangPreemption::is_incomplete(job) &&
+           !job.gang_stop_requested();
 }
 
 bool AgentRegistry::vacated(const Machine& machine) const {
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -11,7 +11,7 @@
     fence_cancelled();
     if (membership_.is_leader()) {
         for (const auto& [key, marks] : ctx_.jobs.marks()) {
-            for (const auto& name : marks.gone) {
+            for (const auto& name : marks.released) {
                 // Also of claims that came after the machine's end.
                 reconciliation_.record_exits_of_released(name);
             }
@@ -62,7 +62,7 @@
         for (const auto& name : marks.machines) {
             const Machine* machine = registry_.find(name);
             bool ours = machine != nullptr ? machine->owned_by_us : membership_.is_leader();
-            if (marks.fence && !marks.gone.contains(name) && ours) {
+            if (marks.fence && !marks.released.contains(name) && ours) {
                 names.insert(name);
             }
         }
@@ -152,7 +152,7 @@
 bool FailureDetector::can_forget(Machine& machine) const {
     const auto& mark = registry_.site(machine).mark;
     bool placed = !registry_.site(machine).tasks.empty();
-    if (mark && mark->gone) {
+    if (mark && mark->released) {
         machine.release_confirmed = true;
     } else if (machine.release_confirmed && !mark && !machine.awaiting_reply) {
         if (!placed) {
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -23,15 +23,15 @@
 
 void GangPreemption::request_preemption(const Job& job, const std::string& why) {
     auto key = job.block_key(0);
-    if (!ctx_.is_member || job.stopping() || ctx_.blocks_in_flight.contains(key)) {
+    if (!ctx_.is_member || job.gang_stop_requested() || ctx_.blocks_in_flight.contains(key)) {
         return;
     }
     Block next = job.block(0);
-    next.stop = next.attempt;
+    next.stop_attempt = next.attempt;
     Txn txn;
     txn.conditions = JobStore::alive(job);
     txn.conditions.push_back(ctx_.epoch_condition());
-    job.add_block(0, next, txn);
+    job.add_block_write(0, next, txn);
     ctx_.blocks_in_flight.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
     ctx_.txn(std::move(txn), [this, key](const StoreReply& reply) {
--- a/src/core/agents/job_arrivals.cpp
+++ b/src/core/agents/job_arrivals.cpp
@@ -5,16 +5,16 @@
 namespace cranemoor::core {
 
 void JobArrivals::note(const std::string& uid, const Job& job) {
-    if (job.waiting || job.came_wall() < ctx_.now.wall - constants::arrivals_s) {
+    if (job.waiting || job.eligible_wall() < ctx_.now.wall - constants::arrivals_s) {
         return;
     }
     if (registry_.needs_whole_machine(job.spec)) {
-        whole_machine_jobs_.try_emplace(uid, Arrival{job.came_wall(), job.spec.tasks});
+        whole_machine_jobs_.try_emplace(uid, Arrival{job.eligible_wall(), job.spec.tasks});
     }
     // Without checkpoints a machine that is taken back costs all the work on it: such jobs
     // use cheap machines that are there, but none are kept for them.
     if (job.spec.spot && job.spec.checkpoint_s > 0) {
-        spot_jobs_.try_emplace(uid, Arrival{job.came_wall(), job.spec.tasks});
+        spot_jobs_.try_emplace(uid, Arrival{job.eligible_wall(), job.spec.tasks});
     }
 }
 
--- a/src/core/agents/job_failures.cpp
+++ b/src/core/agents/job_failures.cpp
@@ -7,20 +7,20 @@
 // Failures are counted in the job's blocks, with the ends that are written anyway: every member
 // knows of them, also after a failover. The pause begins when they are seen.
 void JobFailures::note(const std::string& uid, const Job& job) {
-    if (job.fails == 0) {
+    if (job.consecutive_failures == 0) {
         pauses_.erase(uid);
         return;
     }
     Pause& pause = pauses_[uid];
-    if (pause.failures == job.fails) {
+    if (pause.failures == job.consecutive_failures) {
         return;
     }
-    pause.failures = job.fails;
-    if (!job.doubtful()) {
+    pause.failures = job.consecutive_failures;
+    if (!job.fails_repeatedly()) {
         return;
     }
     double pause_s = constants::job_backoff_s;
-    for (int i = constants::job_fails_doubtful; i <= job.fails; ++i) {
+    for (int i = constants::job_fails_doubtful; i <= job.consecutive_failures; ++i) {
         pause_s = std::min(pause_s * 2, constants::job_backoff_max_s);
     }
     pause.until = ctx_.now.steady + pause_s;
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -148,7 +148,7 @@
         some_done = some_done || task_exit.is_done();
         some_failed = some_failed || task_exit.is_failure();
     }
-    next.fails = some_done ? 0 : next.fails + (some_failed ? 1 : 0);
+    next.consecutive_failures = some_done ? 0 : next.consecutive_failures + (some_failed ? 1 : 0);
 }
 
 void PendingTaskExits::flush() {
@@ -267,7 +267,7 @@
 bool PendingTaskExits::goes_to_batched_record(const BlockRef& ref) const {
     const Job& job = *ctx_.jobs.find(ref.uid);
     const auto& tasks = pending_.at(ref).tasks;
-    if (!batched_claims_.is_batched(job) || job.block(ref.block).fails > 0) {
+    if (!batched_claims_.is_batched(job) || job.block(ref.block).consecutive_failures > 0) {
         return false;
     }
     auto count = [&](auto matches) { return std::count_if(tasks.begin(), tasks.end(), matches); };
@@ -279,7 +279,7 @@
 // Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
 // but the epoch is a condition of it.
 void PendingTaskExits::write_batched(const std::vector<BlockRef>& due) {
-    std::vector<BatchEntry> entries;
+    std::vector<ClaimBatchEntry> entries;
     std::vector<std::string> taken;
     std::vector<BlockRef> written;
     std::size_t bytes = 0;
@@ -288,7 +288,7 @@
         const Job& job = *ctx_.jobs.find(ref.uid);
         auto key = job.block_key(ref.block);
         BlockExits& pending = pending_.at(ref);
-        BatchEntry entry;
+        ClaimBatchEntry entry;
         entry.uid = ref.uid;
         entry.block = ref.block;
         for (const auto& [task, task_exit] : pending.tasks) {
@@ -332,7 +332,7 @@
     int done = job.done() + next.done_count() - old.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
     // Else complete_finished_jobs does it once the blocks are written.
-    completes = completes && 1 + job.other_records().size() <= ctx_.ops_max();
+    completes = completes && 1 + job.other_block_records().size() <= ctx_.ops_max();
     for (const auto& [other, record] : job.blocks) {
         completes = completes && !ctx_.blocks_in_flight.contains(job.block_key(other));
     }
@@ -349,7 +349,7 @@
     if (completes) {
         changed = add_final_state_writes(ctx_, job, false, more);
     } else {
-        job.add_block(block, next, more);
+        job.add_block_write(block, next, more);
     }
     // One more condition is the epoch's.
     if (txn.writes.size() + more.writes.size() > ctx_.ops_max() ||
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -21,7 +21,7 @@
     batch.txn.purpose = Txn::Purpose::mark;
     for (const auto& [reason, names] : waiting) {
         CordonBatch marks;
-        marks.why = reason.why;
+        marks.reason = reason.why;
         marks.fence = reason.fence;
         auto next = names.begin();
         while (next != names.end()) {
@@ -29,13 +29,13 @@
             // Each name stands there twice once its machine is gone.
             std::size_t bytes = constants::marks_frame_bytes + reason.why.size();
             while (next != names.end() && marks.machines.size() < constants::release_max &&
-                   (marks.machines.empty() || bytes + mark_bytes(*next) <= ctx_.value_max())) {
-                bytes += mark_bytes(*next);
+                   (marks.machines.empty() || bytes + cordon_bytes(*next) <= ctx_.value_max())) {
+                bytes += cordon_bytes(*next);
                 marks.machines.insert(*next);
                 batch.machines.insert(*next);
                 ++next;
             }
-            auto key = keys::marks(ctx_.self.id, ++ctx_.mark_records_written);
+            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
             batch.txn.conditions.push_back({key, 0});
             batch.txn.writes.push_back({key, encode(marks)});
             if (batch.txn.writes.size() >= ctx_.ops_max()) {
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -69,7 +69,7 @@
 // machines quarantined for a job that was submitted with a mistake, however many of its tasks
 // failed there.
 void TaskReconciliation::note_task_failure(Machine& machine, const Job& job) {
-    if (!job.doubtful()) {
+    if (!job.fails_repeatedly()) {
         machine.failed_jobs.insert(job.spec.uid);
     }
     if (machine.failed_jobs.size() >= constants::machine_errors_max) {
@@ -107,7 +107,7 @@
 // The cloud provider's reply to a release is the proof that everything on the machine has ended.
 void TaskReconciliation::record_exits_of_released(const std::string& name) {
     const Cordon* mark = ctx_.jobs.mark(name);
-    if (mark == nullptr || !mark->gone) {
+    if (mark == nullptr || !mark->released) {
         return;
     }
     for (const auto& [id, on] : ctx_.jobs.on_machine(name)) {
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -40,7 +40,7 @@
 void TaskStops::stop_unwanted(Machine& machine, const Job& job, const TaskId& id,
                               const Placement& placement) {
     bool at_once = job.cancelled || GangPreemption::is_incomplete(job);
-    if (!machine.owned_by_us || !machine.adopted || !(at_once || job.stopping())) {
+    if (!machine.owned_by_us || !machine.adopted || !(at_once || job.gang_stop_requested())) {
         return;
     }
     Attempt attempt{id, placement.attempt};
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -30,7 +30,7 @@
     for (const auto& [key, marks] : ctx_.jobs.marks()) {
         for (const auto& name : marks.machines) {
             const Cordon* mark = ctx_.jobs.mark(name);
-            if (!mark->gone && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
+            if (!mark->released && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
                 machines.size() < constants::release_max) {
                 machines.push_back(name);
             }
@@ -94,14 +94,14 @@
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, old] : ctx_.jobs.marks()) {
         CordonBatch marks = old;
-        std::size_t bytes = constants::marks_frame_bytes + old.why.size();
+        std::size_t bytes = constants::marks_frame_bytes + old.reason.size();
         for (const auto& name : marks.machines) {
-            bytes += mark_bytes(name);
+            bytes += cordon_bytes(name);
             if (machines.contains(name)) {
-                marks.gone.insert(name);
+                marks.released.insert(name);
             }
         }
-        if (marks.gone.size() == old.gone.size() || txn.writes.size() >= ctx_.ops_max()) {
+        if (marks.released.size() == old.released.size() || txn.writes.size() >= ctx_.ops_max()) {
             continue;
         }
         if (bytes <= ctx_.value_max()) {
@@ -129,29 +129,29 @@
 void MachineRelease::add_separate_marks(const CordonBatch& old,
                                         const std::set<std::string>& machines, Txn& txn) {
     CordonBatch separate;
-    separate.why = old.why;
+    separate.reason = old.reason;
     separate.fence = old.fence;
     std::size_t bytes = 0;
     auto write_and_reset = [&] {
         if (!separate.machines.empty() && txn.writes.size() < ctx_.ops_max()) {
-            separate.gone = separate.machines;
-            auto key = keys::marks(ctx_.self.id, ++ctx_.mark_records_written);
+            separate.released = separate.machines;
+            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
             txn.conditions.push_back({key, 0});
             txn.writes.push_back({key, encode(separate)});
         }
         separate.machines.clear();
-        bytes = constants::marks_frame_bytes + old.why.size();
+        bytes = constants::marks_frame_bytes + old.reason.size();
     };
     write_and_reset();
     for (const auto& name : machines) {
         const Cordon* mark = ctx_.jobs.mark(name);
-        if (!old.machines.contains(name) || (mark != nullptr && mark->gone)) {
+        if (!old.machines.contains(name) || (mark != nullptr && mark->released)) {
             continue;
         }
-        if (bytes + mark_bytes(name) > ctx_.value_max()) {
+        if (bytes + cordon_bytes(name) > ctx_.value_max()) {
             write_and_reset();
         }
-        bytes += mark_bytes(name);
+        bytes += cordon_bytes(name);
         separate.machines.insert(name);
     }
     write_and_reset();
@@ -191,8 +191,8 @@
 bool MachineRelease::all_gone(const std::string& key, const CordonBatch& marks) const {
     return std::all_of(marks.machines.begin(), marks.machines.end(), [&](const auto& name) {
         const Cordon* mark = ctx_.jobs.mark(name);
-        bool needed = marks.gone.count(name) != 0 && only_proof_of_release(key, name);
-        return mark != nullptr && mark->gone && !needed;
+        bool needed = marks.released.count(name) != 0 && only_proof_of_release(key, name);
+        return mark != nullptr && mark->released && !needed;
     });
 }
 
@@ -201,7 +201,7 @@
                                            const std::string& machine) const {
     return std::any_of(ctx_.jobs.marks().begin(), ctx_.jobs.marks().end(), [&](const auto& entry) {
         return entry.first != key && entry.second.machines.count(machine) != 0 &&
-               entry.second.gone.count(machine) == 0;
+               entry.second.released.count(machine) == 0;
     });
 }
 
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -25,8 +25,8 @@
     const MachineType* type = cheapest_type_for(spec);
     // Nothing is launched for a job that is likely to fail again, unless it finds no room for
     // long: it must have its retries.
-    bool likely_to_fail = job.doubtful() && ctx_.now.steady - pending_job.pending_since <
-                                                constants::job_backoff_max_s;
+    bool likely_to_fail = job.fails_repeatedly() && ctx_.now.steady - pending_job.pending_since <
+                                                        constants::job_backoff_max_s;
     if (type == nullptr || likely_to_fail) {
         return;
     }
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -25,7 +25,7 @@
 const BatchedClaims::WeightedMembers& BatchedClaims::weighted_members(
     const std::optional<std::string>& zone) const {
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
-    Revision table = ctx_.jobs.revision_of(keys::table);
+    Revision table = ctx_.jobs.revision_of(keys::admission_table);
     if (epoch != weighted_members_epoch_ || table != weighted_members_table_) {
         weighted_members_by_zone_.clear();
         weighted_members_epoch_ = epoch;
@@ -54,7 +54,7 @@
 }
 
 Condition BatchedClaims::table_condition() const {
-    return {keys::table, ctx_.jobs.revision_of(keys::table)};
+    return {keys::admission_table, ctx_.jobs.revision_of(keys::admission_table)};
 }
 
 std::size_t BatchedClaims::record_overhead_bytes() const {
@@ -189,7 +189,7 @@
     }
 }
 
-void BatchedClaims::write(std::vector<BatchEntry> entries, Txn txn,
+void BatchedClaims::write(std::vector<ClaimBatchEntry> entries, Txn txn,
                           std::function<void(const StoreReply&)> on_reply) {
     Condition where = next_record();
     ClaimBatch sheet;
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -44,7 +44,7 @@
     /// in one compare-and-swap. `on_reply` is called with the reply. If the outcome is unknown, it
     /// is called only once the write has been applied or can no longer be, and until then no other
     /// record takes the same claims.
-    void write(std::vector<BatchEntry> entries, Txn txn,
+    void write(std::vector<ClaimBatchEntry> entries, Txn txn,
                std::function<void(const StoreReply&)> on_reply);
     /// Resolves writes with an unknown outcome and deletes records that nobody needs any more.
     /// Called once per controller tick.
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -26,10 +26,10 @@
 void Dependencies::note(const std::string& uid) {
     const Job* job = ctx_.jobs.find(uid);
     bool waits = job != nullptr && job->waiting && !job->cancelled;
-    if (waits && job->follow_parts > 0) {
+    if (waits && job->dependency_part_count > 0) {
         auto parts = ctx_.jobs.follow_parts().find(uid);
         waits = parts != ctx_.jobs.follow_parts().end();
-        for (int n = 0; n < job->follow_parts && waits; ++n) {
+        for (int n = 0; n < job->dependency_part_count && waits; ++n) {
             waits = parts->second.contains(n);
         }
     }
@@ -68,7 +68,7 @@
         if (job == nullptr) {
             continue;
         }
-        Priority most = job->own_priority;
+        Priority most = job->submitted_priority;
         if (auto followers = needed_by_.find(next); followers != needed_by_.end()) {
             for (const auto& f : followers->second) {
                 if (const Job* follower = ctx_.jobs.find(f)) {
@@ -178,7 +178,7 @@
         reading_.insert(other);
         StoreCall call;
         call.kind = StoreCall::Kind::get;
-        call.key = keys::finished(other);
+        call.key = keys::final_state(other);
         ctx_.state(call, [this, other, uid](const StoreReply& r) {
             reading_.erase(other);
             if (r.status == StoreReply::Status::ok) {
@@ -199,7 +199,7 @@
     const auto& uid = job.spec.uid;
     JobRecord record = job.record();
     record.waiting = false;
-    record.follow_parts = 0;
+    record.dependency_part_count = 0;
     record.spec.follows.clear();
     record.ready_wall = std::max(1.0, ctx_.now.wall);
     Txn txn;
@@ -280,7 +280,7 @@
                   [&](const auto& s) { return ctx_.jobs.follow_parts().count(s.first) == 0; });
     for (const auto& [uid, parts] : ctx_.jobs.follow_parts()) {
         const Job* job = ctx_.jobs.find(uid);
-        if (job != nullptr && job->waiting && job->follow_parts > 0) {
+        if (job != nullptr && job->waiting && job->dependency_part_count > 0) {
             strays_.erase(uid);
             continue;
         }
@@ -292,7 +292,7 @@
         auto part = parts.end();
         while (part != parts.begin() && txn.writes.size() < ctx_.ops_max()) {
             --part;
-            auto key = keys::follows(uid, part->first);
+            auto key = keys::dependencies(uid, part->first);
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -13,7 +13,7 @@
     for (auto& condition : JobStore::alive(job)) {
         txn.conditions.push_back(std::move(condition));
     }
-    const Block& first = job.first_record();
+    const Block& first = job.first_block_record();
     Block last;
     last.attempt = first.attempt;
     last.cancelled_wall = first.cancelled_wall;
@@ -21,7 +21,7 @@
     std::vector<std::string> changed = {keys::block(uid, 0)};
     txn.conditions.push_back({changed.front(), first.revision});
     txn.writes.push_back({changed.front(), encode(last)});
-    for (const auto& [key, revision] : job.other_records()) {
+    for (const auto& [key, revision] : job.other_block_records()) {
         if (txn.writes.size() < ctx.ops_max()) {
             changed.push_back(key);
             txn.conditions.push_back({key, revision});
@@ -53,9 +53,9 @@
             // its user has been told.
             add_final_state_writes(ctx_, job, job.cancelled, txn);
         } else {
-            auto left = job.other_records();
-            if (!job.final && job.first_record().revision != 0) {
-                left.push_back({keys::block(uid, 0), job.first_record().revision});
+            auto left = job.other_block_records();
+            if (!job.final && job.first_block_record().revision != 0) {
+                left.push_back({keys::block(uid, 0), job.first_block_record().revision});
             }
             for (const auto& [key, at] : left) {
                 if (txn.writes.size() < ctx_.ops_max()) {
@@ -74,7 +74,7 @@
 // Takes a job into the batch if all that is to be written for it fits one transaction.
 void JobCompletion::add_to_archive(const std::string& uid, ArchiveBatch& batch) const {
     const Job& job = ctx_.jobs.jobs().at(uid);
-    if (!job.final || !job.other_records().empty() || batch.jobs.contains(uid)) {
+    if (!job.final || !job.other_block_records().empty() || batch.jobs.contains(uid)) {
         return;
     }
     auto listings = batch.listings;
@@ -120,9 +120,9 @@
     for (const auto& uid : batch.jobs) {
         const Job& job = ctx_.jobs.jobs().at(uid);
         auto key = keys::block(uid, 0);
-        txn.conditions.push_back({key, job.final_at});
+        txn.conditions.push_back({key, job.final_revision});
         txn.writes.push_back({key, std::nullopt});
-        txn.writes.push_back({keys::finished(uid), encode(*job.final)});
+        txn.writes.push_back({keys::final_state(uid), encode(*job.final)});
         if (job.own_record) {
             txn.writes.push_back({keys::job(uid), std::nullopt});
         }
--- a/src/core/jobs/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -1,6 +1,6 @@
 // Job completion: the leader writes the final state of jobs whose tasks are all over, deletes the
 // block records that outlived them, and later moves the oldest final states out of the watched
-// records (into `keys::finished`) so that every controller's replica stays small.
+// records (into `keys::final_state`) so that every controller's replica stays small.
 #pragma once
 
 #include <map>
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -86,7 +86,7 @@
                   {keys::member(self.name), encode_member(self), lease_.id()}};
     if (ctx_.jobs.level(self.name) < current_feature_level) {
         txn.writes.push_back(
-            {keys::version(self.name), encode_level(self.name, current_feature_level)});
+            {keys::feature_level(self.name), encode_level(self.name, current_feature_level)});
     }
     ctx_.txn(std::move(txn), [this](const StoreReply& reply) { on_join_reply(reply); });
 }
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -27,7 +27,7 @@
     reading_ = true;
     StoreCall call;
     call.kind = StoreCall::Kind::list;
-    call.key = keys::live;
+    call.key = keys::watched_prefix;
     call.after = after;
     ctx_.state(call, [this, first_page_revision](const StoreReply& page) {
         on_page(page, first_page_revision);
@@ -64,7 +64,7 @@
     ++watch_number_;
     StoreCall call;
     call.kind = StoreCall::Kind::watch;
-    call.key = keys::live;
+    call.key = keys::watched_prefix;
     call.since = ctx_.jobs.revision();
     ctx_.state(call, [this, number = watch_number_](const StoreReply& reply) {
         if (number == watch_number_) {
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -41,21 +41,21 @@
     return nullptr;
 }
 
-Slices Quota::trimmed(const Team& t) const {
-    Slices next;
+QuotaSlices Quota::trimmed(const Team& t) const {
+    QuotaSlices next;
     auto it = ctx_.jobs.slices().find(keys::quota(t.name));
     if (it != ctx_.jobs.slices().end()) {
         next = it->second;
     }
     const auto& epoch = ctx_.jobs.epoch();
-    for (auto s = next.held.begin(); s != next.held.end();) {
+    for (auto s = next.by_member.begin(); s != next.by_member.end();) {
         if (!epoch || !epoch->has(s->first)) {
             // Claims of a member that left the epoch are all in the records, since each was
             // conditional on an epoch with it: its slice is worth what they still take.
             s->second = at_least_zero(counted(ctx_.jobs.used(t.name, s->first), t));
         }
         bool empty = none(s->second) && s->first != ctx_.self.id;
-        s = empty ? next.held.erase(s) : std::next(s);
+        s = empty ? next.by_member.erase(s) : std::next(s);
     }
     return next;
 }
@@ -76,16 +76,16 @@
     auto key = keys::quota(name);
     auto it = ctx_.jobs.slices().find(key);
     if (it != ctx_.jobs.slices().end()) {
-        auto mine = it->second.held.find(ctx_.self.id);
+        auto mine = it->second.by_member.find(ctx_.self.id);
         auto low = ceilings_.find(name);
         bool given_up = low != ceilings_.end() && low->second.revision == it->second.revision &&
                         !wanted.fits_in(low->second.amount);
-        if (mine != it->second.held.end() && wanted.fits_in(mine->second) && !given_up) {
+        if (mine != it->second.by_member.end() && wanted.fits_in(mine->second) && !given_up) {
             return true;
         }
     }
-    Slices next = trimmed(*t);
-    Resources& slice = next.held[ctx_.self.id];
+    QuotaSlices next = trimmed(*t);
+    Resources& slice = next.by_member[ctx_.self.id];
     const Resources before = slice;
     auto grow = [&](const Resources& to) {
         slice = {std::max(before.cpus, to.cpus), std::max(before.gpus, to.gpus),
@@ -145,8 +145,8 @@
         if (unlimited(t) || it == ctx_.jobs.slices().end()) {
             continue;
         }
-        auto mine = it->second.held.find(ctx_.self.id);
-        if (mine == it->second.held.end()) {
+        auto mine = it->second.by_member.find(ctx_.self.id);
+        if (mine == it->second.by_member.end()) {
             continue;
         }
         // What is unused is given back only where the team is near its limit and another member
@@ -163,8 +163,8 @@
         if (within(near, t) || !surplus) {
             continue;
         }
-        Slices next = trimmed(t);
-        next.held[ctx_.self.id] = used;
+        QuotaSlices next = trimmed(t);
+        next.by_member[ctx_.self.id] = used;
         Txn txn;
         txn.conditions = {ctx_.epoch_condition(), {key, it->second.revision}};
         txn.writes = {{key, encode(next)}};
--- a/src/core/quota/quota.hpp
+++ b/src/core/quota/quota.hpp
@@ -26,7 +26,7 @@
 
   private:
     // The slices with what the dead no longer need removed.
-    Slices trimmed(const Team& team) const;
+    QuotaSlices trimmed(const Team& team) const;
 
     Resources largest_start(const std::string& name) const;
 
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -53,7 +53,7 @@
     if (job.own_record) {
         // Guards against a job that is called done and then cancelled: its final state stands in
         // the first block and leaves the job's own record as it is.
-        txn.conditions.push_back({keys::block(uid, 0), job.first_record().revision});
+        txn.conditions.push_back({keys::block(uid, 0), job.first_block_record().revision});
         txn.writes = {{keys::job(uid), encode(record)}};
     } else if (bytes_of(job.block(0)) > ctx_.value_max()) {
         // Its block can't be put again: a record of its own goes before the one that it shares.
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -30,7 +30,7 @@
             return;
         }
         if (!builder.listed.empty()) {
-            builder.txn.writes.push_back({keys::accepted(ctx_.self.id, ++shared_records_),
+            builder.txn.writes.push_back({keys::job_listing(ctx_.self.id, ++shared_records_),
                                           encode_listing(std::move(builder.listed))});
         }
         ++writes_in_flight_;
@@ -81,12 +81,12 @@
     }
     builder.room -= std::min(builder.room, bytes);
     // Neither known in any form nor over: a write that comes late must not revive it.
-    for (const auto& key : {keys::job(uid), keys::block(uid, 0), keys::finished(uid)}) {
+    for (const auto& key : {keys::job(uid), keys::block(uid, 0), keys::final_state(uid)}) {
         builder.txn.conditions.push_back({key, 0});
     }
     if (submission.follow_parts > 0) {
-        builder.txn.conditions.push_back(
-            {keys::follows(uid, submission.follow_parts - 1), submission.follow_parts_revision});
+        builder.txn.conditions.push_back({keys::dependencies(uid, submission.follow_parts - 1),
+                                          submission.follow_parts_revision});
     }
     if (own_record) {
         builder.txn.writes.push_back({keys::job(uid), std::move(value)});
@@ -116,7 +116,7 @@
     record.submitted_wall = ctx_.now.wall;
     record.block_size = tasks_per_block(ctx_);
     record.waiting = !submission.spec.follows.empty();
-    record.follow_parts = submission.follow_parts;
+    record.dependency_part_count = submission.follow_parts;
     record.cancelled_wall = submission.cancelled ? std::max(1.0, ctx_.now.wall) : 0;
     if (record.spec.types && encoded_size(record) > ctx_.value_max()) {
         // A list of many types is cut to those that can be rented.
@@ -161,11 +161,11 @@
         write_pending();
         return;
     }
-    auto key = keys::follows(submission->spec.uid, submission->follow_parts);
+    auto key = keys::dependencies(submission->spec.uid, submission->follow_parts);
     Txn txn;
     txn.urgency = Urgency::first;
     txn.conditions = {ctx_.epoch_condition(), {key, ctx_.jobs.revision_of(key)}};
-    txn.writes = {{key, encode_follows(parts[written])}};
+    txn.writes = {{key, encode_dependencies(parts[written])}};
     ctx_.txn(std::move(txn), [this, submission, parts = std::move(parts)](const StoreReply& reply) {
         if (reply.status != StoreReply::Status::ok) {
             for (auto request : submission->requests) {
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -109,8 +109,9 @@
     next.number = old ? old->number + 1 : 1;
     Txn txn;
     txn.urgency = Urgency::first;
-    txn.conditions = {ctx_.epoch_condition(), {keys::table, ctx_.jobs.revision_of(keys::table)}};
-    txn.writes = {{keys::table, encode(next)}};
+    txn.conditions = {ctx_.epoch_condition(),
+                      {keys::admission_table, ctx_.jobs.revision_of(keys::admission_table)}};
+    txn.writes = {{keys::admission_table, encode(next)}};
     write_in_flight_ = true;
     next_refresh_s_ = ctx_.now.steady + constants::table_every_s;
     ctx_.info("admission table {}: records {}", next.number,
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -1,7 +1,7 @@
 // Admission table sync: every controller sends its write-pressure samples to its peers; the leader
 // combines them, decides whether writes are scarce (so that claims are batched, see
 // `BatchedClaims`) and how many machines each controller owns, and writes the admission table
-// (`keys::table`) that all controllers enforce.
+// (`keys::admission_table`) that all controllers enforce.
 #pragma once
 
 #include <map>
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -47,7 +47,7 @@
     for (const auto& [index, block] : blocks) {
         claim.key = job.block_key(index);
         claim.revision = job.block(index).revision;
-        job.add_block(index, block, txn);
+        job.add_block_write(index, block, txn);
         block_keys.push_back(claim.key);
         ++blocks_in_flight_;
     }
@@ -69,7 +69,7 @@
 
 void ClaimWriter::add_batched_claim(const Job& job, int block, const Block& next,
                                     const std::vector<std::string>& machines) {
-    BatchEntry entry;
+    ClaimBatchEntry entry;
     entry.uid = job.spec.uid;
     entry.block = block;
     for (const auto& [task, placement] : next.placed) {
--- a/src/core/scheduling/claim_writer.hpp
+++ b/src/core/scheduling/claim_writer.hpp
@@ -95,8 +95,8 @@
     /// Claims of a round that are written together.
     struct OpenTransaction {
         Txn txn;
-        std::vector<BatchEntry> entries;  // of a batched record
-        std::size_t entries_bytes = 0;    // as bytes_of counts them
+        std::vector<ClaimBatchEntry> entries;  // of a batched record
+        std::size_t entries_bytes = 0;         // as bytes_of counts them
         InFlight in_flight;
     };
 
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -25,7 +25,7 @@
     }
     for (auto& [index, block] : blocks) {
         block.attempt = last_attempt + 1;
-        block.stop = 0;
+        block.stop_attempt = 0;
     }
     return blocks;
 }
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -21,7 +21,7 @@
 }
 
 bool GangReservations::may_reserve(SchedulingRound& round, const PendingJob& pending) const {
-    if (pending.job->doubtful() || pending.shard_rank != 0) {
+    if (pending.job->fails_repeatedly() || pending.shard_rank != 0) {
         return false;
     }
     // Gangs below their minimum share need whole machines, one after the other would be too few.
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -107,7 +107,7 @@
     pending->below_min_share = min_share_deficit(pending->team, pending->job_class) > 0;
     pending->priority = job.spec.priority;
     pending->image = job.spec.image;
-    pending->ready_wall = job.came_wall();
+    pending->ready_wall = job.eligible_wall();
     pending->pending_since = pending_since;
     pending->open_tasks = job.open();
     pending->last_progress_at = pending_since;
@@ -140,7 +140,8 @@
 }
 
 bool PendingQueue::is_backing_off(const PendingJob& pending) const {
-    return pending.job->fails > 0 && ctx_.now.steady < job_failures_.pause_until(pending.uid);
+    return pending.job->consecutive_failures > 0 &&
+           ctx_.now.steady < job_failures_.pause_until(pending.uid);
 }
 
 // The part of a machine that an amount takes, by the resource of which it takes most (as in
@@ -186,7 +187,7 @@
 std::vector<admission::WaitingFlow> PendingQueue::waiting_flows() const {
     std::map<admission::FlowName, admission::WaitingFlow> flows;
     for (const auto& [uid, pending] : pending_jobs_) {
-        if (pending->job->doubtful()) {
+        if (pending->job->fails_repeatedly()) {
             continue;
         }
         admission::WaitingFlow& flow = flows[{pending->team, pending->job_class}];
--- a/src/core/scheduling/placement_constraints.cpp
+++ b/src/core/scheduling/placement_constraints.cpp
@@ -67,8 +67,8 @@
     // more than its half already.
     int last = job.block_last(block);
     if (job.page_size > 0) {
-        first = first / job.record_size * job.record_size;
-        last = std::min(job.spec.tasks, first + job.record_size) - 1;
+        first = first / job.block_record_size * job.block_record_size;
+        last = std::min(job.spec.tasks, first + job.block_record_size) - 1;
         size = last - first + 1;
     }
     int placed_in_zone = 0;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -38,7 +38,7 @@
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
-        (!GangPreemption::would_save(victim) || victim.stopping() ||
+        (!GangPreemption::would_save(victim) || victim.gang_stop_requested() ||
          waited < constants::gang_victim_s)) {
         return false;  // all of it would have to be stopped with the one task that is in the way
     }
@@ -123,7 +123,7 @@
     if (waited < stagger || waited < constants::preempt_after_s) {
         return false;  // its first member makes room, the others only if it has none to make
     }
-    if ((s.tasks > 1 && s.kind == JobKind::gang) || job.doubtful()) {
+    if ((s.tasks > 1 && s.kind == JobKind::gang) || job.fails_repeatedly()) {
         return false;
     }
     if (s.priority <= Priority::normal && !below_guarantee(s.team, s.each)) {
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -161,7 +161,7 @@
 bool TaskClaims::may_claim_another(const Job& job, std::size_t claimed_before,
                                    std::size_t chosen) const {
     std::size_t others = static_cast<std::size_t>(job.placed()) + claimed_before + chosen;
-    if (job.doubtful() && others > 0) {
+    if (job.fails_repeatedly() && others > 0) {
         return false;
     }
     return quota_.within_limit(job.spec.team, job.spec.each * static_cast<double>(chosen + 1));
--- a/src/core/store/claim_batch_index.cpp
+++ b/src/core/store/claim_batch_index.cpp
@@ -8,7 +8,8 @@
 namespace cranemoor::core {
 
 namespace {
-// Ends `task` if it is in range and still placed under that attempt; false: there is nothing to do.
+// Removes the placement of `task` if the task is in `tasks` and still placed under that attempt.
+// Returns whether it did.
 bool remove_placement(Block& block, int task, std::uint64_t attempt, const TaskRange& tasks) {
     auto placed = block.placed.find(task);
     if (!tasks.contains(task) || placed == block.placed.end() ||
@@ -19,13 +20,13 @@
     return true;
 }
 
-bool same_entry(const BatchEntry& a, const BatchEntry& b) {
-    return a.at == b.at && a.block == b.block && a.uid == b.uid;
+bool same_entry(const ClaimBatchEntry& a, const ClaimBatchEntry& b) {
+    return a.write_revision == b.write_revision && a.block == b.block && a.uid == b.uid;
 }
 }  // namespace
 
-void apply_claims(Block& block, const BatchEntry& entry) {
-    block.merged = std::max(block.merged, entry.at);
+void apply_claims(Block& block, const ClaimBatchEntry& entry) {
+    block.applied_batch_revision = std::max(block.applied_batch_revision, entry.write_revision);
     for (const auto& [task, placement] : entry.placed) {
         auto known = block.placed.find(task);
         bool newer = known == block.placed.end() || known->second.attempt < placement.attempt;
@@ -36,8 +37,8 @@
     }
 }
 
-void apply_exits(Block& block, const BatchEntry& entry, const TaskRange& tasks) {
-    block.merged = std::max(block.merged, entry.at);
+void apply_exits(Block& block, const ClaimBatchEntry& entry, const TaskRange& tasks) {
+    block.applied_batch_revision = std::max(block.applied_batch_revision, entry.write_revision);
     for (const auto& [task, attempt] : entry.done) {
         if (remove_placement(block, task, attempt, tasks)) {
             block.add_done(task);
@@ -48,41 +49,41 @@
     }
 }
 
-void apply_entry(Block& block, const BatchEntry& entry) {
+void apply_entry(Block& block, const ClaimBatchEntry& entry) {
     apply_claims(block, entry);
     apply_exits(block, entry, {0, std::numeric_limits<int>::max()});
 }
 
-BatchEntries ClaimBatchIndex::put(const std::string& key, const ClaimBatch& batch) {
-    BatchEntries added;
-    BatchEntries before = std::exchange(by_key_[key], {});
-    BatchEntries& now = by_key_[key];
-    // Entries that a record keeps from its earlier value stand there in the same order.
-    auto next = before.begin();
+ClaimBatchEntries ClaimBatchIndex::put(const std::string& key, const ClaimBatch& batch) {
+    ClaimBatchEntries added;
+    ClaimBatchEntries earlier = std::exchange(by_key_[key], {});
+    ClaimBatchEntries& current = by_key_[key];
+    // Entries that a record keeps from its earlier value keep their order.
+    auto next = earlier.begin();
     for (const auto& entry : batch.entries) {
-        auto known = std::find_if(next, before.end(),
+        auto known = std::find_if(next, earlier.end(),
                                   [&](const auto& old) { return same_entry(*old, entry); });
-        if (known != before.end()) {
-            now.push_back(std::exchange(*known, nullptr));
+        if (known != earlier.end()) {
+            current.push_back(std::exchange(*known, nullptr));
             next = std::next(known);
             continue;
         }
-        now.push_back(std::make_shared<const BatchEntry>(entry));
-        by_job_[entry.uid].push_back(now.back());
-        added.push_back(now.back());
+        current.push_back(std::make_shared<const ClaimBatchEntry>(entry));
+        by_job_[entry.uid].push_back(current.back());
+        added.push_back(current.back());
     }
-    for (const auto& gone : before) {
-        if (gone != nullptr) {
-            remove_from_job(gone);
+    for (const auto& removed : earlier) {
+        if (removed != nullptr) {
+            remove_from_job(removed);
         }
     }
-    if (now.empty()) {
+    if (current.empty()) {
         by_key_.erase(key);
     }
     return added;
 }
 
-void ClaimBatchIndex::remove_from_job(const std::shared_ptr<const BatchEntry>& entry) {
+void ClaimBatchIndex::remove_from_job(const std::shared_ptr<const ClaimBatchEntry>& entry) {
     auto& entries = by_job_[entry->uid];
     std::erase(entries, entry);
     if (entries.empty()) {
@@ -92,13 +93,14 @@
 
 void ClaimBatchIndex::sort_by_revision() {
     for (auto& [uid, entries] : by_job_) {
-        std::sort(entries.begin(), entries.end(),
-                  [](const auto& a, const auto& b) { return a->at < b->at; });
+        std::sort(entries.begin(), entries.end(), [](const auto& a, const auto& b) {
+            return a->write_revision < b->write_revision;
+        });
     }
 }
 
-const BatchEntries& ClaimBatchIndex::of_job(const std::string& uid) const {
-    static const BatchEntries none;
+const ClaimBatchEntries& ClaimBatchIndex::of_job(const std::string& uid) const {
+    static const ClaimBatchEntries none;
     auto it = by_job_.find(uid);
     return it == by_job_.end() ? none : it->second;
 }
--- a/src/core/store/claim_batch_index.hpp
+++ b/src/core/store/claim_batch_index.hpp
@@ -1,5 +1,5 @@
-// The batched claims of the replica: what the records of many jobs' claims and task exits say, by
-// record and by job, and how an entry of them changes the state of a block.
+// The batched claims of the replica: the entries of all claim batch records, by record and by job,
+// and how an entry changes the state of a block.
 #pragma once
 
 #include <map>
@@ -12,39 +12,38 @@
 
 namespace cranemoor::core {
 
-/// Entries of batch records, shared between the index by record and the index by job.
-using BatchEntries = std::vector<std::shared_ptr<const BatchEntry>>;
+/// Entries of claim batches, shared between the index by record and the index by job.
+using ClaimBatchEntries = std::vector<std::shared_ptr<const ClaimBatchEntry>>;
 
-/// Applies the claims of an entry to a block, as far as they are newer than what it holds. Applying
-/// an entry twice changes nothing, and a task that has ended is never placed again under the same
-/// attempt.
-void apply_claims(Block& block, const BatchEntry& entry);
-/// Applies the task exits of an entry to the tasks of a block that are in `tasks`.
-void apply_exits(Block& block, const BatchEntry& entry, const TaskRange& tasks);
+/// Applies those claims of an entry that are newer than what the block holds. Applying an entry
+/// twice changes nothing, and a task that has ended is never placed again under the same attempt.
+void apply_claims(Block& block, const ClaimBatchEntry& entry);
+/// Applies the task exits of an entry to those tasks of a block that are in `tasks`.
+void apply_exits(Block& block, const ClaimBatchEntry& entry, const TaskRange& tasks);
 /// Applies the claims and the exits of an entry to a block.
-void apply_entry(Block& block, const BatchEntry& entry);
+void apply_entry(Block& block, const ClaimBatchEntry& entry);
 
-/// Index of the entries of all batch records. `JobStore` keeps it.
+/// Index of the entries of all claim batch records, maintained by `JobStore`.
 class ClaimBatchIndex {
   public:
-    /// Takes in a batch record in place of its earlier value; an empty one removes the key. Returns
-    /// the entries that the earlier value did not hold, in the order of the record.
-    BatchEntries put(const std::string& key, const ClaimBatch& batch);
-    /// Sorts the entries of each job by the revision of the write that brought them.
+    /// Replaces the earlier value of a claim batch record; an empty batch removes the key. Returns
+    /// the entries that the earlier value did not contain, in the order of the record.
+    ClaimBatchEntries put(const std::string& key, const ClaimBatch& batch);
+    /// Sorts the entries of each job by the revision of the write that first contained them.
     void sort_by_revision();
 
     /// The entries of each record, by key.
-    const std::map<std::string, BatchEntries>& records() const { return by_key_; }
+    const std::map<std::string, ClaimBatchEntries>& records() const { return by_key_; }
     /// The entries of all jobs, in the order of their writes, by uid.
-    const std::unordered_map<std::string, BatchEntries>& by_job() const { return by_job_; }
+    const std::unordered_map<std::string, ClaimBatchEntries>& by_job() const { return by_job_; }
     /// The entries of one job, in the order of their writes; empty if there are none.
-    const BatchEntries& of_job(const std::string& uid) const;
+    const ClaimBatchEntries& of_job(const std::string& uid) const;
 
   private:
-    void remove_from_job(const std::shared_ptr<const BatchEntry>& entry);
+    void remove_from_job(const std::shared_ptr<const ClaimBatchEntry>& entry);
 
-    std::map<std::string, BatchEntries> by_key_;
-    std::unordered_map<std::string, BatchEntries> by_job_;
+    std::map<std::string, ClaimBatchEntries> by_key_;
+    std::unordered_map<std::string, ClaimBatchEntries> by_job_;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/store/job.cpp
+++ b/src/core/store/job.cpp
@@ -6,7 +6,7 @@
 namespace cranemoor::core {
 
 namespace {
-// The block of that number, an empty one if there is none.
+// The block of that number, or an empty one if there is none.
 const Block& find_block(const std::map<int, Block>& blocks, int index) {
     static const Block none;
     auto it = blocks.find(index);
@@ -31,29 +31,29 @@
 JobRecord Job::record() const {
     JobRecord record;
     record.spec = spec;
-    record.spec.priority = own_priority;
+    record.spec.priority = submitted_priority;
     record.submitted_wall = submitted_wall;
-    record.block_size = page_size > 0 ? record_size : block_size;
+    record.block_size = page_size > 0 ? block_record_size : block_size;
     record.cancelled_wall = own_cancelled_wall;
     record.page_size = page_size;
     record.waiting = waiting;
-    record.follow_parts = follow_parts;
+    record.dependency_part_count = dependency_part_count;
     record.ready_wall = ready_wall;
     return record;
 }
 
-const Block& Job::first_record() const {
-    return find_block(page_size > 0 ? whole : blocks, 0);
+const Block& Job::first_block_record() const {
+    return find_block(page_size > 0 ? block_records : blocks, 0);
 }
 
-std::vector<Condition> Job::other_records() const {
+std::vector<Condition> Job::other_block_records() const {
     std::vector<Condition> records;
-    for (const auto& [index, block] : page_size > 0 ? whole : blocks) {
+    for (const auto& [index, block] : page_size > 0 ? block_records : blocks) {
         if (index != 0 && block.revision != 0) {
             records.push_back({keys::block(spec.uid, index), block.revision});
         }
     }
-    for (const auto& [index, revision] : pages) {
+    for (const auto& [index, revision] : page_revisions) {
         records.push_back({keys::page(spec.uid, index), revision});
     }
     return records;
@@ -63,25 +63,25 @@
     return page_size > 0 ? keys::page(spec.uid, index) : keys::block(spec.uid, index);
 }
 
-void Job::add_block(int index, const Block& next, Txn& txn) const {
+void Job::add_block_write(int index, const Block& next, Txn& txn) const {
     txn.conditions.push_back({block_key(index), block(index).revision});
     txn.writes.push_back({block_key(index), encode(next)});
-    if (page_size == 0 || pages.contains(index)) {
+    if (page_size == 0 || page_revisions.contains(index)) {
         return;
     }
-    // The split block is made from the block records as they are known here.
-    int first_source = block_first(index) / record_size;
-    int last_source = block_last(index) / record_size;
+    // A page without a record is derived from block records: the write is conditional on them.
+    int first_source = block_first(index) / block_record_size;
+    int last_source = block_last(index) / block_record_size;
     for (int source = first_source; source <= last_source; ++source) {
         txn.conditions.push_back(
-            {keys::block(spec.uid, source), find_block(whole, source).revision});
+            {keys::block(spec.uid, source), find_block(block_records, source).revision});
     }
 }
 
-bool Job::stopping() const {
+bool Job::gang_stop_requested() const {
     const Block& first = block(0);
-    return spec.kind == JobKind::gang && first.stop != 0 && first.stop == first.attempt &&
-           placed_total > 0;
+    return spec.kind == JobKind::gang && first.stop_attempt != 0 &&
+           first.stop_attempt == first.attempt && placed_total > 0;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/store/job_store.cpp
+++ b/src/core/store/job_store.cpp
@@ -18,7 +18,7 @@
         return true;
     }
     if (job.final) {
-        return !job.other_records().empty();
+        return !job.other_block_records().empty();
     }
     return job.complete() || (job.cancelled && job.placed() == 0);
 }
@@ -42,8 +42,9 @@
     BlockTotals totals;
     bool block_succeeded = false;  // tasks of another block were done: the job itself is sound
     for (const auto& [index, block] : job.blocks) {
-        totals.fails = std::max(totals.fails, block.fails);
-        block_succeeded = block_succeeded || (block.fails == 0 && !block.done.empty());
+        totals.fails = std::max(totals.fails, block.consecutive_failures);
+        block_succeeded =
+            block_succeeded || (block.consecutive_failures == 0 && !block.done.empty());
         totals.done += block.done_count();
         totals.placed += static_cast<int>(block.placed.size());
     }
@@ -103,13 +104,13 @@
     BlockTotals totals = count_blocks(job);
     job.done_total = totals.done;
     job.placed_total = totals.placed;
-    job.fails = totals.fails;
+    job.consecutive_failures = totals.fails;
     update_cancellation(uid, job);
-    const Block& first = job.first_record();
+    const Block& first = job.first_block_record();
     if (first.final && !job.final) {
         job.final = first.final;
-        job.final_at = first.revision;
-        final_states_.emplace(job.final_at, uid);
+        job.final_revision = first.revision;
+        final_states_.emplace(job.final_revision, uid);
     }
     set_membership(cancelled_, uid, is_live(job) && job.cancelled);
     set_membership(over_, uid, is_over(job));
@@ -124,7 +125,7 @@
 // Blocks of a job with a final state that are known from batch records alone: there is no record of
 // theirs that would have to be removed.
 void JobStore::remove_blocks_without_record(Job& job) {
-    if (!job.first_record().final || job.page_size != 0) {
+    if (!job.first_block_record().final || job.page_size != 0) {
         return;
     }
     for (auto it = job.blocks.begin(); it != job.blocks.end();) {
@@ -138,7 +139,7 @@
 }
 
 void JobStore::update_cancellation(const std::string& uid, Job& job) {
-    const Block& first = job.first_record();
+    const Block& first = job.first_block_record();
     job.cancelled_wall = std::max(job.own_cancelled_wall, first.cancelled_wall);
     if (auto pending = pending_cancellations_.find(uid); pending != pending_cancellations_.end()) {
         if (job.cancelled_wall > 0 || first.final) {
@@ -153,7 +154,7 @@
 void JobStore::erase(const std::string& uid) {
     auto it = jobs_.find(uid);
     if (it->second.final) {
-        final_states_.erase({it->second.final_at, uid});
+        final_states_.erase({it->second.final_revision, uid});
     }
     open_.erase(&it->second);
     cancelled_.erase(uid);
@@ -175,7 +176,7 @@
 
 void JobStore::lend_priority(const std::string& uid, Priority priority) {
     if (auto it = jobs_.find(uid); it != jobs_.end()) {
-        it->second.spec.priority = std::max(it->second.own_priority, priority);
+        it->second.spec.priority = std::max(it->second.submitted_priority, priority);
         touched_jobs_.insert(uid);
     }
 }
@@ -213,9 +214,11 @@
            placements_.agrees_with(by_machine);
 }
 
-bool JobStore::needed(const BatchEntry& entry) const {
+bool JobStore::needed(const ClaimBatchEntry& entry) const {
     const Job* job = find(entry.uid);
-    return job != nullptr && (job->page_size > 0 || job->block(entry.block).recorded < entry.at);
+    return job != nullptr &&
+           (job->page_size > 0 ||
+            job->block(entry.block).recorded_batch_revision < entry.write_revision);
 }
 
 std::vector<Condition> JobStore::alive(const Job& job) {
@@ -225,11 +228,11 @@
     // A record that is shared changes for other jobs' sake. The job's end shows in the final state,
     // which stands in its only block, on which every change is conditional as well, or where it was
     // moved to.
-    return {{keys::job(job.spec.uid), 0}, {keys::finished(job.spec.uid), 0}};
+    return {{keys::job(job.spec.uid), 0}, {keys::final_state(job.spec.uid), 0}};
 }
 
 FeatureLevel JobStore::level(const std::string& name) const {
-    auto it = levels_.find(keys::version(name));
+    auto it = levels_.find(keys::feature_level(name));
     return it == levels_.end() ? FeatureLevel::none : it->second;
 }
 
--- a/src/core/store/job_store.hpp
+++ b/src/core/store/job_store.hpp
@@ -1,6 +1,6 @@
 // JobStore: this controller's replica of the durable records, kept up to date by the watch. It
-// holds every key below `keys::live` as of one revision; nothing else in the core keeps durable
-// state.
+// holds every key below `keys::watched_prefix` as of one revision; nothing else in the core keeps
+// durable state.
 #pragma once
 
 #include <algorithm>
@@ -65,7 +65,7 @@
     /// The admission table, if there is one.
     const std::optional<admission::Table>& table() const { return table_; }
     /// The quota slices of each team, by key.
-    const std::map<std::string, Slices>& slices() const { return slices_; }
+    const std::map<std::string, QuotaSlices>& slices() const { return slices_; }
     /// The highest feature level that the controller of that name has run, none if it is unknown.
     FeatureLevel level(const std::string& name) const;
 
@@ -96,11 +96,11 @@
     bool indexes_agree() const;
 
     /// The entries of each record of batched claims, by key.
-    const std::map<std::string, BatchEntries>& claim_batches() const {
+    const std::map<std::string, ClaimBatchEntries>& claim_batches() const {
         return claim_batches_.records();
     }
     /// Whether a batch record must keep that entry, since no other record holds what it says.
-    bool needed(const BatchEntry& entry) const;
+    bool needed(const ClaimBatchEntry& entry) const;
 
     /// What the records say of a machine, see `PlacementIndex::machine`. To be asked again after
     /// each full read.
@@ -163,8 +163,8 @@
     void remove_block(Job& job, int index);
     void remove_blocks_without_record(Job& job);
     void apply_batch_entries(const IndexedKey& key, Block& next) const;
-    void apply_batch_entry(const BatchEntry& entry);
-    void apply_batch_entry_to_pages(Job& job, const BatchEntry& entry);
+    void apply_batch_entry(const ClaimBatchEntry& entry);
+    void apply_batch_entry_to_pages(Job& job, const ClaimBatchEntry& entry);
     void derive_page(Job& job, int index);
     void derive_missing_pages(Job& job);
     void gather_dependencies(const std::string& uid);
@@ -184,7 +184,7 @@
     std::optional<Epoch> epoch_;
     std::map<std::string, Member> member_keys_;
     std::optional<admission::Table> table_;
-    std::map<std::string, Slices> slices_;
+    std::map<std::string, QuotaSlices> slices_;
     std::map<std::string, FeatureLevel> levels_;  // by key
     std::unordered_map<std::string, Job> jobs_;
     std::map<std::string, DependencyParts> follow_parts_;
--- a/src/core/store/job_store_blocks.cpp
+++ b/src/core/store/job_store_blocks.cpp
@@ -11,8 +11,9 @@
 // Adds to `page` what a block record says of the tasks of that range.
 void copy_tasks(const Block& record, const TaskRange& tasks, Block& page) {
     page.attempt = std::max(page.attempt, record.attempt);
-    page.merged = std::max(page.merged, record.merged);
-    page.fails = std::max(page.fails, record.fails);
+    page.applied_batch_revision =
+        std::max(page.applied_batch_revision, record.applied_batch_revision);
+    page.consecutive_failures = std::max(page.consecutive_failures, record.consecutive_failures);
     page.placed.insert(record.placed.lower_bound(tasks.first),
                        record.placed.upper_bound(tasks.last));
     for (const auto& range : record.done) {
@@ -65,15 +66,15 @@
     if (next.final || !loaded_) {
         return;
     }
-    Revision merged = next.merged;
+    Revision merged = next.applied_batch_revision;
     for (const auto& entry : claim_batches_.of_job(key.uid)) {
-        if (entry->block == key.index && entry->at > merged) {
+        if (entry->block == key.index && entry->write_revision > merged) {
             apply_entry(next, *entry);
         }
     }
 }
 
-void JobStore::apply_batch_entry(const BatchEntry& entry) {
+void JobStore::apply_batch_entry(const ClaimBatchEntry& entry) {
     auto it = jobs_.find(entry.uid);
     if (!loaded_ || it == jobs_.end() || it->second.revision == 0 || it->second.final) {
         return;  // applied once the job is known, or of no use any more
@@ -81,7 +82,7 @@
     Job& job = it->second;
     if (job.page_size > 0) {
         apply_batch_entry_to_pages(job, entry);
-    } else if (job.block(entry.block).merged < entry.at) {
+    } else if (job.block(entry.block).applied_batch_revision < entry.write_revision) {
         Block next = job.block(entry.block);
         apply_entry(next, entry);
         set_block(job, entry.block, std::move(next));
@@ -90,14 +91,14 @@
 }
 
 // A job's blocks may have been split after the entry was written.
-void JobStore::apply_batch_entry_to_pages(Job& job, const BatchEntry& entry) {
-    Block& record = job.whole[entry.block];
-    if (record.merged < entry.at) {
+void JobStore::apply_batch_entry_to_pages(Job& job, const ClaimBatchEntry& entry) {
+    Block& record = job.block_records[entry.block];
+    if (record.applied_batch_revision < entry.write_revision) {
         apply_entry(record, entry);
         derive_missing_pages(job);
     }
-    for (const auto& [index, revision] : job.pages) {
-        if (job.block(index).merged < entry.at) {
+    for (const auto& [index, revision] : job.page_revisions) {
+        if (job.block(index).applied_batch_revision < entry.write_revision) {
             Block page = job.block(index);
             apply_exits(page, entry, {job.block_first(index), job.block_last(index)});
             set_block(job, index, std::move(page));
@@ -109,10 +110,10 @@
 void JobStore::derive_page(Job& job, int index) {
     Block page;
     TaskRange tasks{job.block_first(index), job.block_last(index)};
-    for (int source = tasks.first / job.record_size; source <= tasks.last / job.record_size;
-         ++source) {
-        auto it = job.whole.find(source);
-        if (it != job.whole.end()) {
+    for (int source = tasks.first / job.block_record_size;
+         source <= tasks.last / job.block_record_size; ++source) {
+        auto it = job.block_records.find(source);
+        if (it != job.block_records.end()) {
             copy_tasks(it->second, tasks, page);
         }
     }
@@ -120,11 +121,11 @@
 }
 
 void JobStore::derive_missing_pages(Job& job) {
-    if (job.first_record().final) {
+    if (job.first_block_record().final) {
         return;  // nothing else counts any more
     }
     for (int index = 0; index < job.block_count(); ++index) {
-        if (!job.pages.contains(index)) {
+        if (!job.page_revisions.contains(index)) {
             derive_page(job, index);
         }
     }
--- a/src/core/store/job_store_records.cpp
+++ b/src/core/store/job_store_records.cpp
@@ -28,9 +28,9 @@
             put_page(parse_indexed_key(key), decode_block(value, revision));
             break;
         case RecordKind::dependencies:
-            put_dependencies(parse_indexed_key(key), decode_follows(value));
+            put_dependencies(parse_indexed_key(key), decode_dependencies(value));
             break;
-        case RecordKind::version:
+        case RecordKind::feature_level:
             levels_[key] = decode_level(value);
             break;
         case RecordKind::admission_table:
@@ -40,10 +40,10 @@
             put_claim_batch(key, decode_claim_batch(value, revision));
             break;
         case RecordKind::quota:
-            slices_[key] = decode_slices(value, revision);
+            slices_[key] = decode_quota_slices(value, revision);
             break;
-        case RecordKind::cordons:
-            placements_.put_marks(key, decode_cordons(value, revision));
+        case RecordKind::cordon_batch:
+            placements_.put_marks(key, decode_cordon_batch(value, revision));
             break;
         case RecordKind::unknown:
             break;
@@ -76,7 +76,7 @@
         case RecordKind::dependencies:
             drop_dependencies(parse_indexed_key(key));
             break;
-        case RecordKind::version:
+        case RecordKind::feature_level:
             levels_.erase(key);
             break;
         case RecordKind::admission_table:
@@ -88,7 +88,7 @@
         case RecordKind::quota:
             slices_.erase(key);
             break;
-        case RecordKind::cordons:
+        case RecordKind::cordon_batch:
             placements_.drop_marks(key);
             break;
         case RecordKind::unknown:
@@ -115,7 +115,7 @@
     job.revision = revision;
     gather_dependencies(uid);
     if (newly_split) {
-        job.whole = std::exchange(job.blocks, {});
+        job.block_records = std::exchange(job.blocks, {});
         derive_missing_pages(job);
     } else if (first) {
         for (const auto& [index, block] : job.blocks) {
@@ -136,16 +136,16 @@
     if (job.revision != 0) {
         priority = std::max(priority, job.spec.priority);
     }
-    job.own_priority = record.spec.priority;
+    job.submitted_priority = record.spec.priority;
     job.spec = std::move(record.spec);
     job.spec.priority = priority;
     job.submitted_wall = record.submitted_wall;
     job.own_cancelled_wall = record.cancelled_wall;
     job.waiting = record.waiting;
-    job.follow_parts = record.follow_parts;
+    job.dependency_part_count = record.dependency_part_count;
     job.ready_wall = record.ready_wall;
     job.block_size = record.page_size > 0 ? record.page_size : record.block_size;
-    job.record_size = record.block_size;
+    job.block_record_size = record.block_size;
     job.page_size = record.page_size;
 }
 
@@ -188,7 +188,7 @@
     if (job.revision == 0) {
         job.spec.uid = key.uid;
     }
-    next.recorded = next.merged;
+    next.recorded_batch_revision = next.applied_batch_revision;
     apply_batch_entries(key, next);
     if (job.page_size == 0) {
         set_block(job, key.index, std::move(next));
@@ -196,7 +196,7 @@
         return;
     }
     bool final = next.final.has_value();
-    job.whole[key.index] = std::move(next);
+    job.block_records[key.index] = std::move(next);
     if (final) {
         // Old places in records still to be removed must not come back to life.
         while (!job.blocks.empty()) {
@@ -216,7 +216,7 @@
     Job& job = it->second;
     if (job.page_size == 0) {
         remove_block(job, key.index);
-    } else if (job.whole.erase(key.index) != 0) {
+    } else if (job.block_records.erase(key.index) != 0) {
         derive_missing_pages(job);
     }
     after_removal(key.uid);
@@ -224,13 +224,13 @@
 
 void JobStore::put_page(const IndexedKey& key, Block next) {
     Job& job = jobs_[key.uid];
-    job.pages[key.index] = next.revision;
-    if (!job.first_record().final) {
+    job.page_revisions[key.index] = next.revision;
+    if (!job.first_block_record().final) {
         if (job.revision != 0 && loaded_) {
-            Revision merged = next.merged;
+            Revision merged = next.applied_batch_revision;
             TaskRange tasks{job.block_first(key.index), job.block_last(key.index)};
             for (const auto& entry : claim_batches_.of_job(key.uid)) {
-                if (entry->at > merged) {
+                if (entry->write_revision > merged) {
                     apply_exits(next, *entry, tasks);
                 }
             }
@@ -242,7 +242,7 @@
 
 void JobStore::drop_page(const IndexedKey& key) {
     auto it = jobs_.find(key.uid);
-    if (it == jobs_.end() || it->second.pages.erase(key.index) == 0) {
+    if (it == jobs_.end() || it->second.page_revisions.erase(key.index) == 0) {
         return;
     }
     Job& job = it->second;
@@ -273,13 +273,14 @@
 void JobStore::gather_dependencies(const std::string& uid) {
     auto it = jobs_.find(uid);
     auto parts = follow_parts_.find(uid);
-    if (it == jobs_.end() || parts == follow_parts_.end() || it->second.follow_parts == 0) {
+    if (it == jobs_.end() || parts == follow_parts_.end() ||
+        it->second.dependency_part_count == 0) {
         return;
     }
     auto& follows = it->second.spec.follows;
     follows.clear();
     for (const auto& [number, part] : parts->second) {
-        if (number >= it->second.follow_parts) {
+        if (number >= it->second.dependency_part_count) {
             break;  // left of an earlier try
         }
         follows.insert(follows.end(), part.begin(), part.end());
@@ -296,7 +297,8 @@
 // Erases a job of which no record is left.
 void JobStore::after_removal(const std::string& uid) {
     Job& job = jobs_.at(uid);
-    if (job.revision == 0 && job.blocks.empty() && job.whole.empty() && job.pages.empty()) {
+    if (job.revision == 0 && job.blocks.empty() && job.block_records.empty() &&
+        job.page_revisions.empty()) {
         erase(uid);
     } else {
         classify(uid, job);
--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -53,7 +53,7 @@
         }
         touched_machines_.insert(placement.machine);
         used_by_team_[job.spec.team] += job.spec.each * sign;
-        used_by_member_[{job.spec.team, placement.charge}] += job.spec.each * sign;
+        used_by_member_[{job.spec.team, placement.charged_member}] += job.spec.each * sign;
     }
 }
 
@@ -86,7 +86,7 @@
                 auto& kept = entry(name)->mark;
                 Cordon& mark = kept ? *kept : kept.emplace();
                 mark.fence = mark.fence || marks.fence;
-                mark.gone = mark.gone || marks.gone.contains(name);
+                mark.released = mark.released || marks.released.contains(name);
             }
         }
     }
--- a/src/core/store/record_codec.cpp
+++ b/src/core/store/record_codec.cpp
@@ -9,11 +9,11 @@
 namespace cranemoor::core {
 
 namespace {
-Json amounts(const Resources& r) {
-    return Json::array({r.cpus, r.gpus, r.memory_gb});
+Json encode_resources(const Resources& resources) {
+    return Json::array({resources.cpus, resources.gpus, resources.memory_gb});
 }
 
-Resources amounts(const Json& value) {
+Resources decode_resources(const Json& value) {
     return {value.at(0).get<double>(), value.at(1).get<double>(), value.at(2).get<double>()};
 }
 
@@ -45,149 +45,153 @@
     return "production";
 }
 
-Json encode_member(const Member& m) {
-    return {{"name", m.name}, {"zone", m.zone}, {"boot", m.boot}, {"id", m.id}};
+Json encode_member(const Member& member) {
+    return {{"name", member.name}, {"zone", member.zone}, {"boot", member.boot}, {"id", member.id}};
 }
 
-Member decode_member(const Json& v) {
-    return {v.at("name").get<std::string>(), v.at("zone").get<std::string>(),
-            v.at("boot").get<std::string>(), v.at("id").get<std::uint64_t>()};
+Member decode_member(const Json& value) {
+    return {value.at("name").get<std::string>(), value.at("zone").get<std::string>(),
+            value.at("boot").get<std::string>(), value.at("id").get<std::uint64_t>()};
 }
 
 Json encode_level(const std::string& name, FeatureLevel level) {
     return {{"name", name}, {"level", static_cast<int>(level)}};
 }
 
-FeatureLevel decode_level(const Json& v) {
-    return static_cast<FeatureLevel>(v.value("level", 1));
+FeatureLevel decode_level(const Json& value) {
+    return static_cast<FeatureLevel>(value.value("level", 1));
 }
 
 Json encode(const Epoch& epoch) {
     Json members = Json::array();
-    for (const auto& m : epoch.members) {
-        members.push_back(encode_member(m));
+    for (const auto& member : epoch.members) {
+        members.push_back(encode_member(member));
     }
     return {{"number", epoch.number}, {"members", members}};
 }
 
-Epoch decode_epoch(const Json& v) {
+Epoch decode_epoch(const Json& value) {
     Epoch epoch;
-    epoch.number = v.at("number").get<Token>();
-    for (const auto& m : v.at("members")) {
-        epoch.members.push_back(decode_member(m));
+    epoch.number = value.at("number").get<Token>();
+    for (const auto& member : value.at("members")) {
+        epoch.members.push_back(decode_member(member));
     }
     return epoch;
 }
 
 Json encode(const Block& block) {
     Json placed = Json::object();
-    for (const auto& [task, p] : block.placed) {
-        placed[std::to_string(task)] = Json::array({p.machine, p.zone, p.attempt, p.charge});
+    for (const auto& [task, placement] : block.placed) {
+        placed[std::to_string(task)] = Json::array(
+            {placement.machine, placement.zone, placement.attempt, placement.charged_member});
     }
     Json done = Json::array();
-    for (const auto& [from, to] : block.done) {
-        done.push_back(Json::array({from, to}));
+    for (const auto& [first, last] : block.done) {
+        done.push_back(Json::array({first, last}));
     }
-    Json v = {{"attempt", block.attempt}, {"placed", placed}, {"done", done}};
-    if (block.stop > 0) {
-        v["stop"] = block.stop;
+    Json value = {{"attempt", block.attempt}, {"placed", placed}, {"done", done}};
+    if (block.stop_attempt > 0) {
+        value["stop"] = block.stop_attempt;
     }
-    if (block.fails > 0) {
-        v["fails"] = block.fails;
+    if (block.consecutive_failures > 0) {
+        value["fails"] = block.consecutive_failures;
     }
     if (block.cancelled_wall > 0) {
-        v["cancelled"] = block.cancelled_wall;
+        value["cancelled"] = block.cancelled_wall;
     }
     if (block.final) {
-        v["final"] = encode(*block.final);
+        value["final"] = encode(*block.final);
     }
-    if (block.merged > 0) {
-        v["merged"] = block.merged;
+    if (block.applied_batch_revision > 0) {
+        value["merged"] = block.applied_batch_revision;
     }
-    return v;
+    return value;
 }
 
-Block decode_block(const Json& v, Revision revision) {
+Block decode_block(const Json& value, Revision revision) {
     Block block;
     block.revision = revision;
-    block.attempt = v.at("attempt").get<std::uint64_t>();
-    for (const auto& [task, p] : v.at("placed").items()) {
-        block.placed[std::stoi(task)] = {p.at(0).get<std::string>(), p.at(1).get<std::string>(),
-                                         p.at(2).get<std::uint64_t>(),
-                                         p.at(3).get<std::uint64_t>()};
+    block.attempt = value.at("attempt").get<std::uint64_t>();
+    for (const auto& [task, placement] : value.at("placed").items()) {
+        block.placed[std::stoi(task)] = {
+            placement.at(0).get<std::string>(), placement.at(1).get<std::string>(),
+            placement.at(2).get<std::uint64_t>(), placement.at(3).get<std::uint64_t>()};
     }
-    for (const auto& range : v.at("done")) {
+    for (const auto& range : value.at("done")) {
         block.done.push_back({range.at(0).get<int>(), range.at(1).get<int>()});
         block.done_total += block.done.back().size();
     }
-    block.stop = v.value("stop", std::uint64_t{0});
-    block.fails = v.value("fails", 0);
-    block.cancelled_wall = v.value("cancelled", 0.0);
-    block.merged = v.value("merged", Revision{0});
-    if (v.contains("final")) {
-        block.final = decode_finished(v.at("final"));
+    block.stop_attempt = value.value("stop", std::uint64_t{0});
+    block.consecutive_failures = value.value("fails", 0);
+    block.cancelled_wall = value.value("cancelled", 0.0);
+    block.applied_batch_revision = value.value("merged", Revision{0});
+    if (value.contains("final")) {
+        block.final = decode_finished(value.at("final"));
     }
     return block;
 }
 
-std::size_t bytes_of(int task, const Placement& p) {
+std::size_t bytes_of(int task, const Placement& placement) {
     // "7":["machine","zone",1,2],
-    return fmt::formatted_size("{}{}{}", task, p.attempt, p.charge) + p.machine.size() +
-           p.zone.size() + 13;
+    return fmt::formatted_size("{}{}{}", task, placement.attempt, placement.charged_member) +
+           placement.machine.size() + placement.zone.size() + 13;
 }
 
 std::size_t bytes_of(const Block& block) {
     std::size_t sum = constants::block_frame_bytes;
-    for (const auto& [task, p] : block.placed) {
-        sum += bytes_of(task, p);
+    for (const auto& [task, placement] : block.placed) {
+        sum += bytes_of(task, placement);
     }
-    for (const auto& [from, to] : block.done) {
-        sum += fmt::formatted_size("[{},{}],", from, to);
+    for (const auto& [first, last] : block.done) {
+        sum += fmt::formatted_size("[{},{}],", first, last);
     }
     return sum;
 }
 
-Json encode(const Finished& f) {
-    return {{"state", f.cancelled ? "cancelled" : "done"}, {"tasks", f.tasks}};
+Json encode(const Finished& finished) {
+    return {{"state", finished.cancelled ? "cancelled" : "done"}, {"tasks", finished.tasks}};
 }
 
-Finished decode_finished(const Json& v) {
-    return {v.at("state").get<std::string>() == "cancelled", v.at("tasks").get<int>()};
+Finished decode_finished(const Json& value) {
+    return {value.at("state").get<std::string>() == "cancelled", value.at("tasks").get<int>()};
 }
 
-Json encode(const CordonBatch& m) {
-    return {{"why", m.why}, {"fence", m.fence}, {"machines", m.machines}, {"gone", m.gone}};
+Json encode(const CordonBatch& batch) {
+    return {{"why", batch.reason},
+            {"fence", batch.fence},
+            {"machines", batch.machines},
+            {"gone", batch.released}};
 }
 
-CordonBatch decode_cordons(const Json& v, Revision revision) {
-    CordonBatch m;
-    m.revision = revision;
-    m.why = v.at("why").get<std::string>();
-    m.fence = v.at("fence").get<bool>();
-    m.machines = v.at("machines").get<std::set<std::string>>();
-    m.gone = v.at("gone").get<std::set<std::string>>();
-    return m;
+CordonBatch decode_cordon_batch(const Json& value, Revision revision) {
+    CordonBatch batch;
+    batch.revision = revision;
+    batch.reason = value.at("why").get<std::string>();
+    batch.fence = value.at("fence").get<bool>();
+    batch.machines = value.at("machines").get<std::set<std::string>>();
+    batch.released = value.at("gone").get<std::set<std::string>>();
+    return batch;
 }
 
-Json encode(const Slices& slices) {
+Json encode(const QuotaSlices& slices) {
     Json held = Json::object();
-    for (const auto& [id, r] : slices.held) {
-        held[std::to_string(id)] = amounts(r);
+    for (const auto& [id, resources] : slices.by_member) {
+        held[std::to_string(id)] = encode_resources(resources);
     }
     return {{"held", held}};
 }
 
-Slices decode_slices(const Json& v, Revision revision) {
-    Slices slices;
+QuotaSlices decode_quota_slices(const Json& value, Revision revision) {
+    QuotaSlices slices;
     slices.revision = revision;
-    for (const auto& [id, r] : v.at("held").items()) {
-        slices.held[std::stoull(id)] = amounts(r);
+    for (const auto& [id, resources] : value.at("held").items()) {
+        slices.by_member[std::stoull(id)] = decode_resources(resources);
     }
     return slices;
 }
 
 namespace {
-Json encode_exits(const std::vector<BatchedTaskExit>& exits) {
+Json encode_exits(const std::vector<ClaimBatchExit>& exits) {
     Json list = Json::array();
     for (const auto& [task, attempt] : exits) {
         list.push_back(Json::array({task, attempt}));
@@ -195,53 +199,54 @@
     return list;
 }
 
-std::vector<BatchedTaskExit> decode_exits(const Json& v) {
-    std::vector<BatchedTaskExit> exits;
-    for (const auto& each : v) {
-        exits.push_back({each.at(0).get<int>(), each.at(1).get<std::uint64_t>()});
+std::vector<ClaimBatchExit> decode_exits(const Json& value) {
+    std::vector<ClaimBatchExit> exits;
+    for (const auto& item : value) {
+        exits.push_back({item.at(0).get<int>(), item.at(1).get<std::uint64_t>()});
     }
     return exits;
 }
 }  // namespace
 
-// Entries are lists, and each zone is named once: the size of a batch decides how many claims one
-// write holds.
+// Entries are encoded as arrays, and each zone is named only once: the size of a batch limits how
+// many claims one write can hold.
 Json encode(const ClaimBatch& batch) {
     std::vector<std::string> zones;
     Json entries = Json::array();
-    for (const auto& e : batch.entries) {
+    for (const auto& entry : batch.entries) {
         Json placed = Json::array();
-        for (const auto& [task, p] : e.placed) {
-            auto zone = std::find(zones.begin(), zones.end(), p.zone) - zones.begin();
+        for (const auto& [task, placement] : entry.placed) {
+            auto zone = std::find(zones.begin(), zones.end(), placement.zone) - zones.begin();
             if (zone == static_cast<std::ptrdiff_t>(zones.size())) {
-                zones.push_back(p.zone);
+                zones.push_back(placement.zone);
             }
-            placed.push_back(Json::array({task, p.machine, zone, p.attempt, p.charge}));
+            placed.push_back(Json::array(
+                {task, placement.machine, zone, placement.attempt, placement.charged_member}));
         }
-        entries.push_back(Json::array(
-            {e.uid, e.block, e.at, placed, encode_exits(e.done), encode_exits(e.lost)}));
+        entries.push_back(Json::array({entry.uid, entry.block, entry.write_revision, placed,
+                                       encode_exits(entry.done), encode_exits(entry.lost)}));
     }
     return {{"zones", zones}, {"entries", entries}};
 }
 
-ClaimBatch decode_claim_batch(const Json& v, Revision revision) {
+ClaimBatch decode_claim_batch(const Json& value, Revision revision) {
     ClaimBatch batch;
     batch.revision = revision;
-    auto zones = v.at("zones").get<std::vector<std::string>>();
-    for (const auto& each : v.at("entries")) {
-        BatchEntry e;
-        e.uid = each.at(0).get<std::string>();
-        e.block = each.at(1).get<int>();
-        e.at = each.at(2).get<Revision>();
-        e.at = e.at == 0 ? revision : e.at;
-        for (const auto& p : each.at(3)) {
-            e.placed[p.at(0).get<int>()] = {
-                p.at(1).get<std::string>(), zones.at(p.at(2).get<std::size_t>()),
-                p.at(3).get<std::uint64_t>(), p.at(4).get<std::uint64_t>()};
+    auto zones = value.at("zones").get<std::vector<std::string>>();
+    for (const auto& item : value.at("entries")) {
+        ClaimBatchEntry entry;
+        entry.uid = item.at(0).get<std::string>();
+        entry.block = item.at(1).get<int>();
+        entry.write_revision = item.at(2).get<Revision>();
+        entry.write_revision = entry.write_revision == 0 ? revision : entry.write_revision;
+        for (const auto& placement : item.at(3)) {
+            entry.placed[placement.at(0).get<int>()] = {
+                placement.at(1).get<std::string>(), zones.at(placement.at(2).get<std::size_t>()),
+                placement.at(3).get<std::uint64_t>(), placement.at(4).get<std::uint64_t>()};
         }
-        e.done = decode_exits(each.at(4));
-        e.lost = decode_exits(each.at(5));
-        batch.entries.push_back(std::move(e));
+        entry.done = decode_exits(item.at(4));
+        entry.lost = decode_exits(item.at(5));
+        batch.entries.push_back(std::move(entry));
     }
     return batch;
 }
@@ -254,24 +259,24 @@
     return {{"number", table.number}, {"shared", table.shared}, {"parts", parts}};
 }
 
-admission::Table decode_table(const Json& v, Revision revision) {
+admission::Table decode_table(const Json& value, Revision revision) {
     admission::Table table;
     table.revision = revision;
-    table.number = v.at("number").get<std::uint64_t>();
-    table.shared = v.at("shared").get<bool>();
-    for (const auto& [id, part] : v.at("parts").items()) {
+    table.number = value.at("number").get<std::uint64_t>();
+    table.shared = value.at("shared").get<bool>();
+    for (const auto& [id, part] : value.at("parts").items()) {
         table.parts[std::stoull(id)] = {part.at("weight").get<int>()};
     }
     return table;
 }
 
-std::size_t bytes_of(const BatchEntry& e) {
+std::size_t bytes_of(const ClaimBatchEntry& entry) {
     // ["uid",0,revision,[...],[...],[...]],
-    std::size_t sum = e.uid.size() + constants::entry_frame_bytes;
-    for (const auto& [task, p] : e.placed) {
-        sum += bytes_of(task, p) - p.zone.size();
+    std::size_t sum = entry.uid.size() + constants::entry_frame_bytes;
+    for (const auto& [task, placement] : entry.placed) {
+        sum += bytes_of(task, placement) - placement.zone.size();
     }
-    for (const auto* exits : {&e.done, &e.lost}) {
+    for (const auto* exits : {&entry.done, &entry.lost}) {
         for (const auto& [task, attempt] : *exits) {
             sum += fmt::formatted_size("[{},{}],", task, attempt);
         }
@@ -280,103 +285,103 @@
 }
 
 Json encode(const JobRecord& job) {
-    const JobSpec& s = job.spec;
-    Json v = {{"uid", s.uid},
-              {"class", s.job_class},
-              {"team", job.waiting ? "" : s.team},
-              {"kind", static_cast<int>(s.kind)},
-              {"priority", static_cast<int>(s.priority)},
-              {"tasks", s.tasks},
-              {"each", amounts(s.each)},
-              {"together", s.together},
-              {"spread", s.spread},
-              {"spot", s.spot},
-              {"image", s.image},
-              {"image_gb", s.image_gb},
-              {"estimate_s", s.estimate_s},
-              {"checkpoint_s", s.checkpoint_s},
-              {"save_s", s.save_s},
-              {"submitted", job.submitted_wall},
-              {"block_size", job.block_size},
-              {"cancelled", job.cancelled_wall}};
-    if (s.types) {
-        v["types"] = *s.types;
-    }
-    if (s.zone) {
-        v["zone"] = *s.zone;
-    }
-    if (s.deadline_s) {
-        v["deadline_s"] = *s.deadline_s;
+    const JobSpec& spec = job.spec;
+    Json value = {{"uid", spec.uid},
+                  {"class", spec.job_class},
+                  {"team", job.waiting ? "" : spec.team},
+                  {"kind", static_cast<int>(spec.kind)},
+                  {"priority", static_cast<int>(spec.priority)},
+                  {"tasks", spec.tasks},
+                  {"each", encode_resources(spec.each)},
+                  {"together", spec.together},
+                  {"spread", spec.spread},
+                  {"spot", spec.spot},
+                  {"image", spec.image},
+                  {"image_gb", spec.image_gb},
+                  {"estimate_s", spec.estimate_s},
+                  {"checkpoint_s", spec.checkpoint_s},
+                  {"save_s", spec.save_s},
+                  {"submitted", job.submitted_wall},
+                  {"block_size", job.block_size},
+                  {"cancelled", job.cancelled_wall}};
+    if (spec.types) {
+        value["types"] = *spec.types;
+    }
+    if (spec.zone) {
+        value["zone"] = *spec.zone;
+    }
+    if (spec.deadline_s) {
+        value["deadline_s"] = *spec.deadline_s;
     }
     if (job.page_size > 0) {
-        v["page_size"] = job.page_size;
+        value["page_size"] = job.page_size;
     }
     if (job.waiting) {
-        v["of_team"] = s.team;
-        if (job.follow_parts > 0) {
-            v["follow_parts"] = job.follow_parts;
+        value["of_team"] = spec.team;
+        if (job.dependency_part_count > 0) {
+            value["follow_parts"] = job.dependency_part_count;
         } else {
-            v["follows"] = s.follows;
+            value["follows"] = spec.follows;
         }
     }
     if (job.ready_wall > 0) {
-        v["ready"] = job.ready_wall;
+        value["ready"] = job.ready_wall;
     }
-    return v;
+    return value;
 }
 
 Json encode_listing(Json jobs) {
-    Json v = Json::object();
-    v["jobs"] = std::move(jobs);
-    return v;
+    Json value = Json::object();
+    value["jobs"] = std::move(jobs);
+    return value;
 }
 
-Json encode_follows(const std::vector<std::string>& follows) {
-    return {{"follows", follows}};
+Json encode_dependencies(const std::vector<std::string>& dependencies) {
+    return {{"follows", dependencies}};
 }
 
-std::vector<std::string> decode_follows(const Json& v) {
-    return v.at("follows").get<std::vector<std::string>>();
+std::vector<std::string> decode_dependencies(const Json& value) {
+    return value.at("follows").get<std::vector<std::string>>();
 }
 
-JobRecord decode_job(const Json& v) {
+JobRecord decode_job(const Json& value) {
     JobRecord job;
-    JobSpec& s = job.spec;
-    s.uid = v.at("uid").get<std::string>();
-    s.job_class = v.at("class").get<std::string>();
-    s.team = v.at("team").get<std::string>();
-    s.kind = static_cast<JobKind>(v.at("kind").get<int>());
-    s.priority = static_cast<Priority>(v.at("priority").get<int>());
-    s.tasks = v.at("tasks").get<int>();
-    s.each = amounts(v.at("each"));
-    s.together = v.at("together").get<bool>();
-    s.spread = v.at("spread").get<bool>();
-    s.spot = v.at("spot").get<bool>();
-    s.image = v.at("image").get<std::string>();
-    s.image_gb = v.at("image_gb").get<double>();
-    s.estimate_s = v.at("estimate_s").get<double>();
-    s.checkpoint_s = v.at("checkpoint_s").get<double>();
-    s.save_s = v.at("save_s").get<double>();
-    if (v.contains("types")) {
-        s.types = v.at("types").get<std::vector<std::string>>();
-    }
-    if (v.contains("zone")) {
-        s.zone = v.at("zone").get<std::string>();
-    }
-    if (v.contains("deadline_s")) {
-        s.deadline_s = v.at("deadline_s").get<double>();
-    }
-    job.submitted_wall = v.at("submitted").get<double>();
-    job.block_size = v.at("block_size").get<int>();
-    job.cancelled_wall = v.at("cancelled").get<double>();
-    job.page_size = v.value("page_size", 0);
-    job.ready_wall = v.value("ready", 0.0);
-    if (v.contains("of_team")) {
+    JobSpec& spec = job.spec;
+    spec.uid = value.at("uid").get<std::string>();
+    spec.job_class = value.at("class").get<std::string>();
+    spec.team = value.at("team").get<std::string>();
+    spec.kind = static_cast<JobKind>(value.at("kind").get<int>());
+    spec.priority = static_cast<Priority>(value.at("priority").get<int>());
+    spec.tasks = value.at("tasks").get<int>();
+    spec.each = decode_resources(value.at("each"));
+    spec.together = value.at("together").get<bool>();
+    spec.spread = value.at("spread").get<bool>();
+    spec.spot = value.at("spot").get<bool>();
+    spec.image = value.at("image").get<std::string>();
+    spec.image_gb = value.at("image_gb").get<double>();
+    spec.estimate_s = value.at("estimate_s").get<double>();
+    spec.checkpoint_s = value.at("checkpoint_s").get<double>();
+    spec.save_s = value.at("save_s").get<double>();
+    if (value.contains("types")) {
+        spec.types = value.at("types").get<std::vector<std::string>>();
+    }
+    if (value.contains("zone")) {
+        spec.zone = value.at("zone").get<std::string>();
+    }
+    if (value.contains("deadline_s")) {
+        spec.deadline_s = value.at("deadline_s").get<double>();
+    }
+    job.submitted_wall = value.at("submitted").get<double>();
+    job.block_size = value.at("block_size").get<int>();
+    job.cancelled_wall = value.at("cancelled").get<double>();
+    job.page_size = value.value("page_size", 0);
+    job.ready_wall = value.value("ready", 0.0);
+    if (value.contains("of_team")) {
         job.waiting = true;
-        s.team = v.at("of_team").get<std::string>();
-        job.follow_parts = v.value("follow_parts", 0);
-        if (v.contains("follows")) {
-            s.follows = decode_follows(v);
+        spec.team = value.at("of_team").get<std::string>();
+        job.dependency_part_count = value.value("follow_parts", 0);
+        if (value.contains("follows")) {
+            spec.follows = decode_dependencies(value);
         }
     }
     return job;
--- a/src/core/store/record_keys.cpp
+++ b/src/core/store/record_keys.cpp
@@ -10,71 +10,74 @@
 
 namespace {
 
-// Keys hold no spaces and their parts no slashes; names from the settings may hold anything.
-std::string safe(const std::string& name) {
-    std::string out;
-    for (unsigned char c : name) {
-        if (std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.') {
-            out += static_cast<char>(c);
+// Escapes a name for use in a key: keys contain no spaces and key parts no slashes, while names
+// from the settings may contain any character.
+std::string escape_key_part(const std::string& name) {
+    std::string escaped;
+    for (unsigned char character : name) {
+        if (std::isalnum(character) != 0 || character == '-' || character == '_' ||
+            character == '.') {
+            escaped += static_cast<char>(character);
         } else {
-            out += fmt::format("%{:02x}", c);
+            escaped += fmt::format("%{:02x}", character);
         }
     }
-    return out;
+    return escaped;
 }
 }  // namespace
 
 std::uint64_t stable_hash(const std::string& text) {
-    // FNV-1a, with a final mix: without it names that differ in their last letters order alike.
-    std::uint64_t h = 1469598103934665603ULL;
-    for (unsigned char c : text) {
-        h = (h ^ c) * 1099511628211ULL;
+    // FNV-1a with a final mix: without it, names that differ in their last letters sort alike.
+    std::uint64_t hash = 1469598103934665603ULL;
+    for (unsigned char character : text) {
+        hash = (hash ^ character) * 1099511628211ULL;
     }
-    h ^= h >> 33;
-    h *= 0xff51afd7ed558ccdULL;
-    h ^= h >> 33;
-    return h;
+    hash ^= hash >> 33;
+    hash *= 0xff51afd7ed558ccdULL;
+    hash ^= hash >> 33;
+    return hash;
 }
 
 namespace keys {
 std::string member(const std::string& name) {
-    return "c/m/" + safe(name);
+    return "c/m/" + escape_key_part(name);
 }
 std::string job(const std::string& uid) {
-    return "c/j/" + safe(uid);
+    return "c/j/" + escape_key_part(uid);
 }
 std::string block(const std::string& uid, int index) {
-    return fmt::format("c/b/{}/{}", safe(uid), index);
+    return fmt::format("c/b/{}/{}", escape_key_part(uid), index);
 }
-std::string accepted(std::uint64_t member, std::uint64_t number) {
+std::string job_listing(std::uint64_t member, std::uint64_t number) {
     return fmt::format("c/a/{}-{}", member, number);
 }
 std::string page(const std::string& uid, int index) {
-    return fmt::format("c/p/{}/{}", safe(uid), index);
+    return fmt::format("c/p/{}/{}", escape_key_part(uid), index);
 }
-std::string follows(const std::string& uid, int part) {
-    return fmt::format("c/l/{}/{}", safe(uid), part);
+std::string dependencies(const std::string& uid, int part) {
+    return fmt::format("c/l/{}/{}", escape_key_part(uid), part);
 }
-std::string version(const std::string& name) {
-    return "c/v/" + safe(name);
+std::string feature_level(const std::string& name) {
+    return "c/v/" + escape_key_part(name);
 }
 std::string claim_batch(std::uint64_t member, std::uint64_t number) {
     return fmt::format("c/s/{}-{}", member, number);
 }
 std::string quota(const std::string& team) {
-    return "c/q/" + safe(team);
+    return "c/q/" + escape_key_part(team);
 }
-std::string marks(std::uint64_t member, std::uint64_t number) {
+std::string cordon_batch(std::uint64_t member, std::uint64_t number) {
     return fmt::format("c/x/{}-{}", member, number);
 }
-std::string finished(const std::string& uid) {
-    return "f/" + safe(uid);
+std::string final_state(const std::string& uid) {
+    return "f/" + escape_key_part(uid);
 }
 }  // namespace keys
 
 namespace {
-// Every key below keys::live but two begins with a prefix of that length.
-constexpr std::size_t prefix_length = 4;
+// Length of the prefix that says the kind of a record. Only the keys of the epoch and of the
+// admission table have no such prefix.
+constexpr std::size_t kind_prefix_length = 4;
 
 struct KeyPrefix {
     std::string_view text;
@@ -86,17 +89,17 @@
                                                      {"c/b/", RecordKind::block},
                                                      {"c/p/", RecordKind::page},
                                                      {"c/l/", RecordKind::dependencies},
-                                                     {"c/v/", RecordKind::version},
+                                                     {"c/v/", RecordKind::feature_level},
                                                      {"c/s/", RecordKind::claim_batch},
                                                      {"c/q/", RecordKind::quota},
-                                                     {"c/x/", RecordKind::cordons}}};
+                                                     {"c/x/", RecordKind::cordon_batch}}};
 }  // namespace
 
 RecordKind kind_of(const std::string& key) {
     if (key == keys::epoch) {
         return RecordKind::epoch;
     }
-    if (key == keys::table) {
+    if (key == keys::admission_table) {
         return RecordKind::admission_table;
     }
     for (const auto& prefix : key_prefixes) {
@@ -109,11 +112,12 @@
 
 IndexedKey parse_indexed_key(const std::string& key) {
     auto slash = key.rfind('/');
-    return {key.substr(prefix_length, slash - prefix_length), std::stoi(key.substr(slash + 1))};
+    return {key.substr(kind_prefix_length, slash - kind_prefix_length),
+            std::stoi(key.substr(slash + 1))};
 }
 
 std::string uid_of_job_key(const std::string& key) {
-    return key.substr(prefix_length);
+    return key.substr(kind_prefix_length);
 }
 
 }  // namespace cranemoor::core
--- a/src/core/store/records.cpp
+++ b/src/core/store/records.cpp
@@ -39,9 +39,9 @@
     done = std::move(joined);
 }
 
-Resources Slices::total() const {
+Resources QuotaSlices::total() const {
     Resources sum;
-    for (const auto& [member, resources] : held) {
+    for (const auto& [member, resources] : by_member) {
         sum += resources;
     }
     return sum;
