--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -54,7 +54,8 @@
         }
         touched_machines_.insert(placement.machine);
         used_by_team_[job.spec.team] += job.spec.task_resources * sign;
-        used_by_member_[{job.spec.team, placement.charge}] += job.spec.task_resources * sign;
+        used_by_member_[{job.spec.team, placement.charged_member}] +=
+            job.spec.task_resources * sign;
     }
 }
 
@@ -87,7 +88,7 @@
                 auto& kept = entry(name)->mark;
                 Cordon& mark = kept ? *kept : kept.emplace();
                 mark.fence = mark.fence || marks.fence;
-                mark.gone = mark.gone || marks.gone.contains(name);
+                mark.released = mark.released || marks.released.contains(name);
             }
         }
     }
