--- a/src/core/agents/agent_manager.cpp
+++ b/src/core/agents/agent_manager.cpp
@@ -33,7 +33,7 @@
     for (const auto& [id, placement] : ctx_.jobs.take_new_placements()) {
         registry_.note_placement(id, placement);
     }
-    for (const auto& name : ctx_.jobs.take_touched_machines()) {
+    for (const auto& name : ctx_.jobs.take_changed_machines()) {
         machine_records_changed(name);
     }
     for (const auto& uid : touched) {
@@ -95,7 +95,7 @@
         return;
     }
     next_prune_ = ctx_.now.steady + constants::forget_every_s;
-    ctx_.jobs.forget_sites();
+    ctx_.jobs.forget_unused_machines();
     registry_.forget_ended_placements();
     heartbeat_handler_.forget_old_redirects();
     job_arrivals_.forget_old();
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -42,9 +42,9 @@
 }
 
 const MachinePlacements& AgentRegistry::site(const Machine& machine) const {
-    if (machine.site == nullptr || machine.site_of != ctx_.jobs.loads()) {
-        machine.site = ctx_.jobs.site(machine.name);
-        machine.site_of = ctx_.jobs.loads();
+    if (machine.site == nullptr || machine.site_of != ctx_.jobs.load_count()) {
+        machine.site = ctx_.jobs.machine_placements(machine.name);
+        machine.site_of = ctx_.jobs.load_count();
     }
     return *machine.site;
 }
@@ -118,7 +118,7 @@
 
 void AgentRegistry::note_images_pulling(const Machine& machine) const {
     for (const auto& [id, on] : site(machine).tasks) {
-        auto status = machine.tasks.find({id, on.place->attempt});
+        auto status = machine.tasks.find({id, on.placement->attempt});
         if (status == machine.tasks.end() || status->second.state == TaskState::fetching) {
             int image = image_number(on.job->spec.image);
             if (std::find(machine.images_pulling.begin(), machine.images_pulling.end(), image) ==
@@ -164,23 +164,23 @@
     return machine.owned_by_us && machine.adopted && !machine.release_confirmed &&
            !machine.interruption_deadline && ctx_.now.steady >= machine.claim_backoff_until &&
            ctx_.now.steady - machine.last_heartbeat_at <= heartbeat_timeout_s() &&
-           !machine.release_mark_pending && !site(machine).mark && type(machine.type) != nullptr;
+           !machine.release_mark_pending && !site(machine).cordon && type(machine.type) != nullptr;
 }
 
 bool AgentRegistry::in_use(const Machine& machine) const {
     return machine.up() && !machine.release_confirmed && !machine.interruption_deadline &&
-           !zone_partitioned(machine.zone) && !site(machine).mark;
+           !zone_partitioned(machine.zone) && !site(machine).cordon;
 }
 
 bool AgentRegistry::should_start(const Machine& machine, const Job& job) const {
-    return !job.cancelled && !job.final && !site(machine).mark && !machine.release_mark_pending &&
+    return !job.cancelled && !job.final && !site(machine).cordon && !machine.release_mark_pending &&
            !machine.interruption_deadline && !GangPreemption::is_incomplete(job) && !job.stopping();
 }
 
 bool AgentRegistry::vacated(const Machine& machine) const {
     const auto& placed = site(machine).tasks;
     return std::all_of(placed.begin(), placed.end(), [&](const auto& entry) {
-        auto status = machine.tasks.find({entry.first, entry.second.place->attempt});
+        auto status = machine.tasks.find({entry.first, entry.second.placement->attempt});
         return status != machine.tasks.end() && status->second.state == TaskState::exited;
     });
 }
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -10,7 +10,7 @@
 void FailureDetector::sweep() {
     fence_cancelled();
     if (membership_.is_leader()) {
-        for (const auto& [key, marks] : ctx_.jobs.marks()) {
+        for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
             for (const auto& name : marks.gone) {
                 // Also of claims that came after the machine's end.
                 reconciliation_.record_exits_of_released(name);
@@ -29,7 +29,7 @@
         if (ctx_.is_member && machine.owned_by_us) {
             task_stops_.resend(machine);
         }
-        if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).mark) {
+        if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).cordon) {
             task_stops_.checkpoint_before_interruption(machine);
             check_liveness(machine, silent);
         }
@@ -58,7 +58,7 @@
             names.insert(machine->name);
         }
     }
-    for (const auto& [key, marks] : ctx_.jobs.marks()) {
+    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
         for (const auto& name : marks.machines) {
             const Machine* machine = registry_.find(name);
             bool ours = machine != nullptr ? machine->owned_by_us : membership_.is_leader();
@@ -74,7 +74,7 @@
     std::set<Machine*> machines;
     double limit_s = ctx_.settings.cancel_s * constants::cancel_fence_share;
     double last_limit_s = ctx_.settings.cancel_s * constants::cancel_fence_last_share;
-    for (const auto& uid : ctx_.jobs.cancelled()) {
+    for (const auto& uid : ctx_.jobs.cancelled_jobs()) {
         const Job& job = ctx_.jobs.jobs().at(uid);
         double since_s = ctx_.now.wall - job.cancelled_wall;
         if (since_s < limit_s) {
@@ -109,7 +109,7 @@
     int relayed = 0;
     std::map<std::string, SilentMachines::Count> zones;
     for (const Machine* machine : registry_.all()) {
-        if (!machine->owned_by_us || !machine->up() || registry_.site(*machine).mark) {
+        if (!machine->owned_by_us || !machine->up() || registry_.site(*machine).cordon) {
             continue;
         }
         bool is_silent = silent_for_s(*machine) > registry_.heartbeat_timeout_s();
@@ -150,7 +150,7 @@
 
 // Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
 bool FailureDetector::can_forget(Machine& machine) const {
-    const auto& mark = registry_.site(machine).mark;
+    const auto& mark = registry_.site(machine).cordon;
     bool placed = !registry_.site(machine).tasks.empty();
     if (mark && mark->gone) {
         machine.release_confirmed = true;
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -29,7 +29,7 @@
     Block next = job.block(0);
     next.stop = next.attempt;
     Txn txn;
-    txn.conditions = JobStore::alive(job);
+    txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     job.add_block(0, next, txn);
     ctx_.blocks_in_flight.insert(key);
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -39,7 +39,7 @@
         reject(*machine.open_request, status_unavailable);
         machine.open_request.reset();
     }
-    if (const auto& mark = registry_.site(machine).mark; mark && mark->gone) {
+    if (const auto& mark = registry_.site(machine).cordon; mark && mark->gone) {
         reject(request, status_unavailable);
         return;
     }
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -70,7 +70,7 @@
         if (!may_start || !registry_.should_start(machine, *on.job)) {
             continue;
         }
-        Attempt attempt{id, on.place->attempt};
+        Attempt attempt{id, on.placement->attempt};
         bool exit_pending = pending_exits_.find(*on.job, id.index) != nullptr;
         if (machine.tasks.contains(attempt) || live.contains(id) || exit_pending) {
             continue;
@@ -111,7 +111,7 @@
     bool start_due = false;
     bool news_expected = false;  // whether the worker may soon have something to report
     for (const auto& [id, on] : registry_.site(machine).tasks) {
-        auto status = machine.tasks.find({id, on.place->attempt});
+        auto status = machine.tasks.find({id, on.placement->attempt});
         start_due = start_due ||
                     (status == machine.tasks.end() && registry_.should_start(machine, *on.job));
         news_expected = news_expected || on.job->cancelled ||
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -60,7 +60,7 @@
 }
 
 void MachineAdoption::raise_token(Machine& machine, int attempts) {
-    if (machine.address.empty() || attempts == 0 || registry_.site(machine).mark) {
+    if (machine.address.empty() || attempts == 0 || registry_.site(machine).cordon) {
         return;
     }
     WorkerCommandCall call;
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -119,7 +119,7 @@
     for (const auto& [index, task_exit] : pending.tasks) {
         const Machine* machine = registry_.find(task_exit.machine);
         if (machine != nullptr && (registry_.vacated(*machine) || machine->interruption_deadline ||
-                                   ctx_.jobs.mark(machine->name) != nullptr)) {
+                                   ctx_.jobs.cordon(machine->name) != nullptr)) {
             return true;
         }
     }
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -5,7 +5,7 @@
 namespace cranemoor::core {
 
 void ReleaseMarks::mark(Machine& machine, const std::string& why, bool fence) {
-    const Cordon* existing = ctx_.jobs.mark(machine.name);
+    const Cordon* existing = ctx_.jobs.cordon(machine.name);
     if (machine.release_mark_pending || !ctx_.is_member || !membership_.has_store_contact() ||
         (existing != nullptr && (existing->fence || !fence))) {
         return;
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -81,7 +81,7 @@
 void TaskReconciliation::reconcile(Machine& machine, bool from_heartbeat) {
     for (const auto& [id, on] : registry_.site(machine).tasks) {
         const Job* job = on.job;
-        const Placement* placement = on.place;
+        const Placement* placement = on.placement;
         Attempt attempt{id, placement->attempt};
         auto status = machine.tasks.find(attempt);
         if (status != machine.tasks.end()) {
@@ -106,12 +106,12 @@
 
 // The cloud provider's reply to a release is the proof that everything on the machine has ended.
 void TaskReconciliation::record_exits_of_released(const std::string& name) {
-    const Cordon* mark = ctx_.jobs.mark(name);
+    const Cordon* mark = ctx_.jobs.cordon(name);
     if (mark == nullptr || !mark->gone) {
         return;
     }
-    for (const auto& [id, on] : ctx_.jobs.on_machine(name)) {
-        pending_exits_.add(id, {on.place->attempt, ExitCause::machine_gone, false, name});
+    for (const auto& [id, on] : ctx_.jobs.tasks_on_machine(name)) {
+        pending_exits_.add(id, {on.placement->attempt, ExitCause::machine_gone, false, name});
     }
 }
 
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -75,7 +75,7 @@
     double left_s = *machine.interruption_deadline - ctx_.now.steady;
     for (const auto& [id, on] : registry_.site(machine).tasks) {
         const JobSpec& spec = on.job->spec;
-        Attempt attempt{id, on.place->attempt};
+        Attempt attempt{id, on.placement->attempt};
         auto status = machine.tasks.find(attempt);
         if (spec.checkpoint_s <= 0 || spec.kind == JobKind::service ||
             status == machine.tasks.end() || status->second.state != TaskState::running) {
--- a/src/core/autoscaling/bin_packing.cpp
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -12,7 +12,7 @@
 // Whether waiting work should count on the machine.
 bool counts_as_bin(const Context& ctx, const AgentRegistry& agents, const Machine& machine) {
     const MachineType* type = agents.type(machine.type);
-    if (type == nullptr || machine.interruption_deadline || agents.site(machine).mark ||
+    if (type == nullptr || machine.interruption_deadline || agents.site(machine).cordon ||
         agents.zone_partitioned(machine.zone) || machine.listed_state == ListedState::failed) {
         return false;
     }
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -76,7 +76,7 @@
                                    const std::vector<std::string>& machines, double age_s) {
     std::vector<ListedMachine> listed;
     for (const auto& machine : machines) {
-        if (ctx_.jobs.mark(machine) == nullptr) {
+        if (ctx_.jobs.cordon(machine) == nullptr) {
             listed.push_back(
                 {machine, "", kind.type, kind.zone, kind.spot, ListedState::starting, age_s});
         }
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -27,10 +27,10 @@
         return;
     }
     std::vector<std::string> machines;
-    for (const auto& [key, marks] : ctx_.jobs.marks()) {
+    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
         for (const auto& name : marks.machines) {
-            const Cordon* mark = ctx_.jobs.mark(name);
-            if (!mark->gone && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
+            const Cordon* mark = ctx_.jobs.cordon(name);
+            if (!mark->gone && (mark->fence || ctx_.jobs.tasks_on_machine(name).empty()) &&
                 machines.size() < constants::release_max) {
                 machines.push_back(name);
             }
@@ -92,7 +92,7 @@
     Txn txn;
     txn.purpose = Txn::Purpose::mark;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, old] : ctx_.jobs.marks()) {
+    for (const auto& [key, old] : ctx_.jobs.cordon_batches()) {
         CordonBatch marks = old;
         std::size_t bytes = constants::marks_frame_bytes + old.why.size();
         for (const auto& name : marks.machines) {
@@ -144,7 +144,7 @@
     };
     write_and_reset();
     for (const auto& name : machines) {
-        const Cordon* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.cordon(name);
         if (!old.machines.contains(name) || (mark != nullptr && mark->gone)) {
             continue;
         }
@@ -162,12 +162,13 @@
         return;
     }
     next_deletion_at_ = ctx_.now.steady + constants::retire_every_s;
-    std::erase_if(gone_since_,
-                  [&](const auto& entry) { return ctx_.jobs.marks().count(entry.first) == 0; });
+    std::erase_if(gone_since_, [&](const auto& entry) {
+        return ctx_.jobs.cordon_batches().count(entry.first) == 0;
+    });
     Txn txn;
     txn.purpose = Txn::Purpose::mark;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, marks] : ctx_.jobs.marks()) {
+    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
         if (!all_gone(key, marks)) {
             continue;
         }
@@ -190,7 +191,7 @@
 // this one to say so.
 bool MachineRelease::all_gone(const std::string& key, const CordonBatch& marks) const {
     return std::all_of(marks.machines.begin(), marks.machines.end(), [&](const auto& name) {
-        const Cordon* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.cordon(name);
         bool needed = marks.gone.count(name) != 0 && only_proof_of_release(key, name);
         return mark != nullptr && mark->gone && !needed;
     });
@@ -199,10 +200,11 @@
 // Whether another record of the machine doesn't say itself that it is gone.
 bool MachineRelease::only_proof_of_release(const std::string& key,
                                            const std::string& machine) const {
-    return std::any_of(ctx_.jobs.marks().begin(), ctx_.jobs.marks().end(), [&](const auto& entry) {
-        return entry.first != key && entry.second.machines.count(machine) != 0 &&
-               entry.second.gone.count(machine) == 0;
-    });
+    return std::any_of(ctx_.jobs.cordon_batches().begin(), ctx_.jobs.cordon_batches().end(),
+                       [&](const auto& entry) {
+                           return entry.first != key && entry.second.machines.count(machine) != 0 &&
+                                  entry.second.gone.count(machine) == 0;
+                       });
 }
 
 // Whether the machines have been gone long enough, none is still listed, and no task is recorded
@@ -215,7 +217,7 @@
         const Machine* machine = agent_manager_.registry().find(name);
         bool listed =
             machine != nullptr && ctx_.now.steady - machine->listed_at < constants::gone_mark_s / 2;
-        return !listed && ctx_.jobs.on_machine(name).empty();
+        return !listed && ctx_.jobs.tasks_on_machine(name).empty();
     });
 }
 
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -19,7 +19,7 @@
 void ScaleIn::mark_never_up() {
     for (Machine* machine : agent_manager_.registry().all()) {
         const MachineType* type = agent_manager_.registry().type(machine->type);
-        if (type == nullptr || machine->up() || agent_manager_.registry().site(*machine).mark) {
+        if (type == nullptr || machine->up() || agent_manager_.registry().site(*machine).cordon) {
             continue;
         }
         bool starting = machine->listed_state == ListedState::starting;
@@ -34,7 +34,7 @@
     std::vector<Machine*> idle;
     for (Machine* machine : agent_manager_.registry().all()) {
         if (machine->up() && !machine->release_mark_pending &&
-            !agent_manager_.registry().site(*machine).mark && machine->empty_since >= 0 &&
+            !agent_manager_.registry().site(*machine).cordon && machine->empty_since >= 0 &&
             agent_manager_.registry().site(*machine).tasks.empty()) {
             idle.push_back(machine);
         }
@@ -51,7 +51,7 @@
     double free_gpus = 0;
     for (const auto& [name, machine] : agent_manager_.registry().machines()) {
         bool counts = machine.up() && !machine.release_confirmed &&
-                      !agent_manager_.registry().site(machine).mark;
+                      !agent_manager_.registry().site(machine).cordon;
         up += counts ? 1 : 0;
         free_gpus += counts && !agent_manager_.registry().site(machine).tasks.empty()
                          ? agent_manager_.registry().room(machine).gpus
@@ -60,7 +60,7 @@
     ctx_.info(
         "fleet: {} machines up, {} of them empty, {} to keep so, {:.0f} GPUs free beside "
         "other work, {} jobs open",
-        up, idle, headroom_machines(ctx_, agent_manager_), free_gpus, ctx_.jobs.open().size());
+        up, idle, headroom_machines(ctx_, agent_manager_), free_gpus, ctx_.jobs.open_jobs().size());
 }
 
 // Those idle for longest go first, and only those beyond the headroom; spot instances, which most
--- a/src/core/context/context.cpp
+++ b/src/core/context/context.cpp
@@ -129,9 +129,10 @@
 }
 
 bool Context::upgraded(FeatureLevel level) const {
-    return jobs.level(settings.name) >= level &&
-           std::all_of(settings.peers.begin(), settings.peers.end(),
-                       [this, level](const Peer& peer) { return jobs.level(peer.name) >= level; });
+    return jobs.feature_level(settings.name) >= level &&
+           std::all_of(
+               settings.peers.begin(), settings.peers.end(),
+               [this, level](const Peer& peer) { return jobs.feature_level(peer.name) >= level; });
 }
 
 Condition Context::epoch_condition() const {
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -25,9 +25,9 @@
             scheduler_.epoch_changed();
             autoscaler_.epoch_changed();
         }
-        auto touched = ctx_.jobs.take_touched_jobs();
+        auto touched = ctx_.jobs.take_changed_jobs();
         dependencies_.records_changed(touched);
-        touched.merge(ctx_.jobs.take_touched_jobs());  // whose priority that changed
+        touched.merge(ctx_.jobs.take_changed_jobs());  // whose priority that changed
         pending_queue_.records_changed(touched);
         if (epoch_changed) {
             pending_queue_.epoch_changed();
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 bool BatchedClaims::is_batched(const Job& job) const {
-    const auto& table = ctx_.jobs.table();
+    const auto& table = ctx_.jobs.admission_table();
     const JobSpec& s = job.spec;
     // The rules of placement of others look at more than one task.
     return table && table->shared && s.kind == JobKind::array && !s.spread && !s.together &&
@@ -30,8 +30,8 @@
         weighted_members_by_zone_.clear();
         weighted_members_epoch_ = epoch;
         weighted_members_table_ = table;
-        if (ctx_.jobs.epoch() && ctx_.jobs.table()) {
-            const auto& parts = ctx_.jobs.table()->parts;
+        if (ctx_.jobs.epoch() && ctx_.jobs.admission_table()) {
+            const auto& parts = ctx_.jobs.admission_table()->parts;
             for (const auto& m : ctx_.jobs.epoch()->members) {
                 auto part = parts.find(m.id);
                 // One that the table doesn't know yet is new, and has few machines.
@@ -89,7 +89,7 @@
     auto it = ctx_.jobs.claim_batches().find(key);
     if (it != ctx_.jobs.claim_batches().end()) {
         for (const auto& e : it->second) {
-            sum += ctx_.jobs.needed(*e) ? bytes_of(*e) : 0;
+            sum += ctx_.jobs.is_entry_needed(*e) ? bytes_of(*e) : 0;
         }
     }
     return sum;
@@ -141,7 +141,7 @@
 void BatchedClaims::append_live_entries(const std::string& key, ClaimBatch& sheet) const {
     if (auto it = ctx_.jobs.claim_batches().find(key); it != ctx_.jobs.claim_batches().end()) {
         for (const auto& e : it->second) {
-            if (ctx_.jobs.needed(*e)) {
+            if (ctx_.jobs.is_entry_needed(*e)) {
                 sheet.entries.push_back(*e);
             }
         }
@@ -219,7 +219,7 @@
 // Whether a record of sheets has nothing that anybody needs, and nobody will write it again.
 bool BatchedClaims::is_retirable(const std::string& key) const {
     auto prefix = prefix_of(ctx_.self.id);
-    const auto& table = ctx_.jobs.table();
+    const auto& table = ctx_.jobs.admission_table();
     const auto& epoch = ctx_.jobs.epoch();
     bool own_record = key.compare(0, prefix.size(), prefix) == 0;
     bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -27,8 +27,8 @@
     const Job* job = ctx_.jobs.find(uid);
     bool waits = job != nullptr && job->waiting && !job->cancelled;
     if (waits && job->follow_parts > 0) {
-        auto parts = ctx_.jobs.follow_parts().find(uid);
-        waits = parts != ctx_.jobs.follow_parts().end();
+        auto parts = ctx_.jobs.dependency_parts().find(uid);
+        waits = parts != ctx_.jobs.dependency_parts().end();
         for (int n = 0; n < job->follow_parts && waits; ++n) {
             waits = parts->second.contains(n);
         }
@@ -79,7 +79,7 @@
         if (most == job->spec.priority) {
             continue;
         }
-        ctx_.jobs.lend_priority(next, most);
+        ctx_.jobs.set_inherited_priority(next, most);
         if (auto all = waiting_.find(next); all != waiting_.end()) {
             todo.insert(todo.end(), all->second.begin(), all->second.end());
         }
@@ -88,7 +88,7 @@
 
 // How a job ended, as the records say: none if they are not here any more and not read yet.
 std::optional<Dependencies::End> Dependencies::end_of(const std::string& uid) const {
-    if (const Finished* f = ctx_.jobs.finished(uid)) {
+    if (const Finished* f = ctx_.jobs.final_state(uid)) {
         return f->cancelled ? End::cancelled : End::done;
     }
     if (const Job* job = ctx_.jobs.find(uid)) {
@@ -129,7 +129,7 @@
         return false;
     }
     for (const auto& m : epoch->members) {
-        if (ctx_.jobs.level(m.name) >= FeatureLevel::dependencies) {
+        if (ctx_.jobs.feature_level(m.name) >= FeatureLevel::dependencies) {
             return m.id == ctx_.self.id;
         }
     }
@@ -203,7 +203,7 @@
     record.spec.follows.clear();
     record.ready_wall = std::max(1.0, ctx_.now.wall);
     Txn txn;
-    txn.conditions = JobStore::alive(job);
+    txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     txn.writes = {{keys::job(uid), encode(record)}};
     writing_.insert(uid);
@@ -277,8 +277,8 @@
     Txn txn;
     txn.conditions.push_back(ctx_.epoch_condition());
     std::erase_if(strays_,
-                  [&](const auto& s) { return ctx_.jobs.follow_parts().count(s.first) == 0; });
-    for (const auto& [uid, parts] : ctx_.jobs.follow_parts()) {
+                  [&](const auto& s) { return ctx_.jobs.dependency_parts().count(s.first) == 0; });
+    for (const auto& [uid, parts] : ctx_.jobs.dependency_parts()) {
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && job->waiting && job->follow_parts > 0) {
             strays_.erase(uid);
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -10,7 +10,7 @@
 std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
                                                 Txn& txn) {
     const auto& uid = job.spec.uid;
-    for (auto& condition : JobStore::alive(job)) {
+    for (auto& condition : JobStore::live_conditions(job)) {
         txn.conditions.push_back(std::move(condition));
     }
     const Block& first = job.first_record();
@@ -34,7 +34,7 @@
 // Ends the jobs that are over: by their final state, and by removing blocks that outlived them.
 // Leader only.
 void JobCompletion::complete_finished_jobs() {
-    for (const auto& uid : ctx_.jobs.over()) {
+    for (const auto& uid : ctx_.jobs.jobs_to_finalize()) {
         if (completions_in_flight_.contains(uid)) {
             continue;
         }
@@ -173,7 +173,7 @@
     for (const auto& key : keys) {
         const auto& listing = ctx_.jobs.listings().at(key);
         bool over = std::all_of(listing.begin(), listing.end(), [&](const auto& uid) {
-            return ctx_.jobs.finished(uid) != nullptr;
+            return ctx_.jobs.final_state(uid) != nullptr;
         });
         if (over && txn.writes.size() < ctx_.ops_max()) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -39,7 +39,7 @@
     }
     record.cancelled_wall = job.cancelled_wall;  // perhaps it stood in the block
     Txn txn;
-    txn.conditions = JobStore::alive(job);
+    txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     if (!job.own_record) {
         txn.conditions.push_back({keys::block(job.spec.uid, 0), job.block(0).revision});
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -42,13 +42,13 @@
 
 // Whether the record that is attached to this member's lease is still there.
 bool LeaderElection::has_live_record(const Member& member) const {
-    const auto& records = ctx_.jobs.member_keys();
+    const auto& records = ctx_.jobs.member_records();
     auto record = records.find(keys::member(member.name));
     return record != records.end() && record->second.id == member.id;
 }
 
 bool LeaderElection::has_joined() const {
-    const auto& records = ctx_.jobs.member_keys();
+    const auto& records = ctx_.jobs.member_records();
     auto record = records.find(keys::member(ctx_.settings.name));
     return ctx_.is_member && record != records.end() && record->second.boot == ctx_.boot_id;
 }
@@ -84,7 +84,7 @@
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(next)},
                   {keys::member(self.name), encode_member(self), lease_.id()}};
-    if (ctx_.jobs.level(self.name) < current_feature_level) {
+    if (ctx_.jobs.feature_level(self.name) < current_feature_level) {
         txn.writes.push_back(
             {keys::version(self.name), encode_level(self.name, current_feature_level)});
     }
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -72,7 +72,7 @@
 std::optional<std::vector<Cancellation>> PeerContact::known_cancellations() const {
     std::vector<Cancellation> known;
     std::size_t bytes = 0;
-    for (const auto& uid : ctx_.jobs.cancelled()) {
+    for (const auto& uid : ctx_.jobs.cancelled_jobs()) {
         bytes += uid.size() + constants::handed_over_frame_bytes;
         if (bytes > constants::handed_over_bytes) {
             return std::nullopt;
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -87,7 +87,7 @@
     for (const auto& event : reply.events) {
         ctx_.jobs.apply(event);
     }
-    ctx_.jobs.advance(reply.revision);
+    ctx_.jobs.advance_revision(reply.revision);
     on_replica_changed();
     watch();
 }
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -43,8 +43,8 @@
 
 Slices Quota::trimmed(const Team& t) const {
     Slices next;
-    auto it = ctx_.jobs.slices().find(keys::quota(t.name));
-    if (it != ctx_.jobs.slices().end()) {
+    auto it = ctx_.jobs.quota_slices().find(keys::quota(t.name));
+    if (it != ctx_.jobs.quota_slices().end()) {
         next = it->second;
     }
     const auto& epoch = ctx_.jobs.epoch();
@@ -74,8 +74,8 @@
     }
     wanted = counted(wanted, *t);
     auto key = keys::quota(name);
-    auto it = ctx_.jobs.slices().find(key);
-    if (it != ctx_.jobs.slices().end()) {
+    auto it = ctx_.jobs.quota_slices().find(key);
+    if (it != ctx_.jobs.quota_slices().end()) {
         auto mine = it->second.held.find(ctx_.self.id);
         auto low = ceilings_.find(name);
         bool given_up = low != ceilings_.end() && low->second.revision == it->second.revision &&
@@ -124,7 +124,7 @@
 // What the largest start takes that the team waits for: a gang's tasks together, or one task.
 Resources Quota::largest_start(const std::string& name) const {
     Resources most;
-    for (const Job* job : ctx_.jobs.open()) {
+    for (const Job* job : ctx_.jobs.open_jobs()) {
         const JobSpec& s = job->spec;
         if (s.team == name) {
             Resources r = s.each * (s.kind == JobKind::gang ? s.tasks : 1);
@@ -141,8 +141,8 @@
     next_return_ = ctx_.now.steady + constants::slice_return_every_s;
     for (const auto& t : ctx_.settings.teams) {
         auto key = keys::quota(t.name);
-        auto it = ctx_.jobs.slices().find(key);
-        if (unlimited(t) || it == ctx_.jobs.slices().end()) {
+        auto it = ctx_.jobs.quota_slices().find(key);
+        if (unlimited(t) || it == ctx_.jobs.quota_slices().end()) {
             continue;
         }
         auto mine = it->second.held.find(ctx_.self.id);
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -46,7 +46,7 @@
     Txn txn;
     txn.urgency = Urgency::first;
     txn.purpose = Txn::Purpose::cancel;
-    txn.conditions = JobStore::alive(job);
+    txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     JobRecord record = job.record();
     record.cancelled_wall = cancelled_wall;
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -9,7 +9,7 @@
                       ctx.settings.state_rps * constants::look_up_share) {}
 
 const Finished* FinishedJobs::find(const std::string& uid) const {
-    if (const Finished* final_state = ctx_.jobs.finished(uid)) {
+    if (const Finished* final_state = ctx_.jobs.final_state(uid)) {
         return final_state;
     }
     auto cached = cache_.find(uid);
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 void SubmissionWriter::write_pending() {
-    const auto& table = ctx_.jobs.table();
+    const auto& table = ctx_.jobs.admission_table();
     bool write_overload = table && table->shared;
     while (!submission_queue_.empty() && writes_in_flight_ < constants::accepts_open &&
            (!write_overload || ctx_.now.steady >= next_write_)) {
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -45,7 +45,7 @@
             writes += h.sample.writes;
         }
     }
-    const auto& old = ctx_.jobs.table();
+    const auto& old = ctx_.jobs.admission_table();
     admission::Table next = old.value_or(admission::Table{});
     bool was = next.shared;
     write_scarcity_.set(was);
@@ -84,7 +84,7 @@
 // Whether the table's parts are so far from what they should be that a write is worth it.
 bool AdmissionTableSync::parts_differ(
     const std::map<std::uint64_t, admission::Part>& wanted) const {
-    const auto& old = ctx_.jobs.table()->parts;
+    const auto& old = ctx_.jobs.admission_table()->parts;
     auto sum = [](const auto& all) {
         double s = 0;
         for (const auto& [id, part] : all) {
@@ -105,7 +105,7 @@
     if (write_in_flight_) {
         return;
     }
-    const auto& old = ctx_.jobs.table();
+    const auto& old = ctx_.jobs.admission_table();
     next.number = old ? old->number + 1 : 1;
     Txn txn;
     txn.urgency = Urgency::first;
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -40,7 +40,7 @@
                                   const std::vector<std::string>& machines, int tasks) {
     Txn& txn = block_claims_.txn;
     std::vector<std::string>& block_keys = block_claims_.in_flight.block_keys;
-    for (auto& condition : JobStore::alive(job)) {
+    for (auto& condition : JobStore::live_conditions(job)) {
         txn.conditions.push_back(std::move(condition));
     }
     Claim claim;
@@ -84,7 +84,7 @@
         send_batched_claims();
     }
     Txn& txn = batched_entries_.txn;
-    for (auto& condition : JobStore::alive(job)) {
+    for (auto& condition : JobStore::live_conditions(job)) {
         txn.conditions.push_back(std::move(condition));
     }
     txn.conditions.push_back({job.block_key(block), job.block(block).revision});
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -93,7 +93,7 @@
         bool is_booting =
             ctx_.now.steady - machine->launched_at < type->boot_s * constants::boot_late_factor;
         return (machine->up() || is_booting) && job.spec.each.fits_in(agents_.room(*machine)) &&
-               !agents_.site(*machine).mark && constraints_.allows(job, *machine);
+               !agents_.site(*machine).cordon && constraints_.allows(job, *machine);
     });
 }
 
@@ -115,7 +115,7 @@
     int found = 0;
     for (const Machine* machine : agents_.all()) {
         if (!AgentRegistry::has_image(*machine, image) || agents_.zone_partitioned(machine->zone) ||
-            agents_.site(*machine).mark || !constraints_.allows(job, *machine)) {
+            agents_.site(*machine).cordon || !constraints_.allows(job, *machine)) {
             continue;
         }
         found += job.spec.each.fits_in(room_within_wait(*machine)) ? 1 : 0;
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -55,7 +55,7 @@
 
 void PendingQueue::update(const std::string& uid) {
     const Job* job = ctx_.jobs.find(uid);
-    bool is_open = job != nullptr && ctx_.jobs.open().contains(job);
+    bool is_open = job != nullptr && ctx_.jobs.open_jobs().contains(job);
     auto known = pending_jobs_.find(uid);
     if (!is_open) {
         remove(uid);
@@ -80,10 +80,10 @@
 
 // All records were read anew: what is known here names jobs of the replica before.
 void PendingQueue::rebuild() {
-    replica_loads_ = ctx_.jobs.loads();
+    replica_loads_ = ctx_.jobs.load_count();
     auto before = std::exchange(pending_jobs_, {});
     queues_.clear();
-    for (const Job* job : ctx_.jobs.open()) {
+    for (const Job* job : ctx_.jobs.open_jobs()) {
         auto known = before.find(job->spec.uid);
         add(*job, known == before.end() ? ctx_.now.steady : known->second->pending_since);
     }
--- a/src/core/scheduling/pending_queue.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -123,7 +123,7 @@
     std::size_t shard_rank(const Job& job) const;
     bool is_backing_off(const PendingJob& pending) const;
     // Whether this is of the replica of the records as it was last read whole.
-    bool is_current() const { return replica_loads_ == ctx_.jobs.loads(); }
+    bool is_current() const { return replica_loads_ == ctx_.jobs.load_count(); }
     void rebuild();
     void update(const std::string& uid);
     void remove(const std::string& uid);
@@ -136,8 +136,8 @@
     std::unordered_map<std::string, std::unique_ptr<PendingJob>> pending_jobs_;  // by uid
     std::map<QueueKey, Queue> queues_;
     Deficits min_share_deficits_;
-    double next_min_share_check_at_ = 0;                        // steady s
-    std::uint64_t replica_loads_ = 0;                           // Jobs::loads() of pending_jobs_
+    double next_min_share_check_at_ = 0;  // steady s
+    std::uint64_t replica_loads_ = 0;     // Jobs::load_count() of pending_jobs_
     std::unordered_map<std::string, int> equivalence_classes_;  // by what is demanded
 };
 
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -139,7 +139,7 @@
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
     return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
-           scheduler_.constraints().allows(job, m) && !agents_.site(m).mark &&
+           scheduler_.constraints().allows(job, m) && !agents_.site(m).cordon &&
            !scheduler_.reservations().is_reserved_for_other(m.name, job.spec.uid) &&
            PlacementConstraints::spread_allowance(job, block, m.zone) > 0;
 }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -39,7 +39,7 @@
     last_round_at_ = ctx_.now.steady;
     SchedulingRound round;
     collect_offers(round, /*owned_by_us=*/true);
-    if (ctx_.jobs.open().empty()) {
+    if (ctx_.jobs.open_jobs().empty()) {
         return;
     }
     pending_queue_.for_each_in_order(is_write_limited(), [&](const PendingJob& pending) {
--- a/src/core/store/job_store.cpp
+++ b/src/core/store/job_store.cpp
@@ -11,9 +11,9 @@
     return is_live(job) && !job.cancelled && !job.waiting && job.open() > 0;
 }
 
-// Whether something is left to do about a job at its end: to write its final state, or to remove
-// blocks that outlived it.
-bool is_over(const Job& job) {
+// Whether an ended job still needs work: its final state must be written, or records that remain
+// after its end must be deleted.
+bool needs_finalizing(const Job& job) {
     if (job.revision == 0 && !job.final) {
         return true;
     }
@@ -23,15 +23,15 @@
     return job.complete() || (job.cancelled && job.placed() == 0);
 }
 
-void set_membership(std::set<std::string>& members, const std::string& uid, bool is_member) {
-    if (is_member) {
-        members.insert(uid);
+void insert_or_erase(std::set<std::string>& uids, const std::string& uid, bool is_element) {
+    if (is_element) {
+        uids.insert(uid);
     } else {
-        members.erase(uid);
+        uids.erase(uid);
     }
 }
 
-// What the blocks of a job add up to.
+// Totals over all blocks of a job.
 struct BlockTotals {
     int done = 0;
     int placed = 0;
@@ -40,7 +40,8 @@
 
 BlockTotals count_blocks(const Job& job) {
     BlockTotals totals;
-    bool block_succeeded = false;  // tasks of another block were done: the job itself is sound
+    // A block with done tasks and no failures in a row: failures elsewhere are not the job's fault.
+    bool block_succeeded = false;
     for (const auto& [index, block] : job.blocks) {
         totals.fails = std::max(totals.fails, block.fails);
         block_succeeded = block_succeeded || (block.fails == 0 && !block.done.empty());
@@ -53,10 +54,10 @@
 }  // namespace
 
 void JobStore::begin_load() {
-    std::uint64_t loads = loads_;
+    std::uint64_t load_count = load_count_;
     auto pending_cancellations = std::move(pending_cancellations_);
     *this = JobStore();
-    loads_ = loads + 1;
+    load_count_ = load_count + 1;
     pending_cancellations_ = std::move(pending_cancellations);
 }
 
@@ -69,8 +70,8 @@
 void JobStore::end_load(Revision revision) {
     revision_ = revision;
     loaded_ = true;
-    // Batch records were read in the order of their keys: their entries apply in the order in which
-    // they were written.
+    // The full read returns batch records in key order, but their entries must be applied in the
+    // order in which they were written.
     claim_batches_.sort_by_revision();
     for (const auto& [uid, entries] : claim_batches_.by_job()) {
         for (const auto& entry : entries) {
@@ -85,8 +86,9 @@
 }
 
 void JobStore::apply(const Event& event) {
-    // A page of the full read may be newer than the revision that the watch begins from: events
-    // that it already contains must not set a key back.
+    // A page of the full read may be newer than the revision at which the watch starts. The watch
+    // then repeats events that the page already includes; they must not revert a key to an older
+    // value.
     if (revision_of(event.key) >= event.revision && event.revision != 0) {
         return;
     }
@@ -97,8 +99,8 @@
     }
 }
 
-// Brings the totals of a job and the indexes over jobs up to date with its blocks and records.
-void JobStore::classify(const std::string& uid, Job& job) {
+// Updates the totals of a job and the indexes over jobs from its blocks and records.
+void JobStore::update_indexes(const std::string& uid, Job& job) {
     remove_blocks_without_record(job);
     BlockTotals totals = count_blocks(job);
     job.done_total = totals.done;
@@ -111,18 +113,18 @@
         job.final_at = first.revision;
         final_states_.emplace(job.final_at, uid);
     }
-    set_membership(cancelled_, uid, is_live(job) && job.cancelled);
-    set_membership(over_, uid, is_over(job));
+    insert_or_erase(cancelled_jobs_, uid, is_live(job) && job.cancelled);
+    insert_or_erase(jobs_to_finalize_, uid, needs_finalizing(job));
     if (has_open_tasks(job)) {
-        open_.insert(&job);
+        open_jobs_.insert(&job);
     } else {
-        open_.erase(&job);
+        open_jobs_.erase(&job);
     }
-    touched_jobs_.insert(uid);
+    changed_jobs_.insert(uid);
 }
 
-// Blocks of a job with a final state that are known from batch records alone: there is no record of
-// theirs that would have to be removed.
+// Removes the blocks of a job with a final state that are known only from claim batch records: they
+// have no record that would have to be deleted.
 void JobStore::remove_blocks_without_record(Job& job) {
     if (!job.first_record().final || job.page_size != 0) {
         return;
@@ -155,51 +157,53 @@
     if (it->second.final) {
         final_states_.erase({it->second.final_at, uid});
     }
-    open_.erase(&it->second);
-    cancelled_.erase(uid);
+    open_jobs_.erase(&it->second);
+    cancelled_jobs_.erase(uid);
     pending_cancellations_.erase(uid);
-    over_.erase(uid);
-    touched_jobs_.insert(uid);
+    jobs_to_finalize_.erase(uid);
+    changed_jobs_.insert(uid);
     jobs_.erase(it);
 }
 
-bool JobStore::note_cancelled(const std::string& uid, double wall) {
+bool JobStore::note_cancelled(const std::string& uid, double cancelled_wall_s) {
     auto it = jobs_.find(uid);
     if (it == jobs_.end() || it->second.cancelled || it->second.final) {
         return false;
     }
-    pending_cancellations_[uid] = wall;
-    classify(uid, it->second);
+    pending_cancellations_[uid] = cancelled_wall_s;
+    update_indexes(uid, it->second);
     return true;
 }
 
-void JobStore::lend_priority(const std::string& uid, Priority priority) {
+void JobStore::set_inherited_priority(const std::string& uid, Priority priority) {
     if (auto it = jobs_.find(uid); it != jobs_.end()) {
         it->second.spec.priority = std::max(it->second.own_priority, priority);
-        touched_jobs_.insert(uid);
+        changed_jobs_.insert(uid);
     }
 }
 
-// Whether a job's totals equal its blocks, and whether it is in the sets that it belongs in.
-bool JobStore::agrees_with_indexes(const std::string& uid, const Job& job) const {
+// Whether a job's totals equal the sums over its blocks, and whether it is in exactly the sets that
+// it belongs in.
+bool JobStore::consistent_with_indexes(const std::string& uid, const Job& job) const {
     BlockTotals counted = count_blocks(job);
     return counted.done == job.done_total && counted.placed == job.placed_total &&
-           has_open_tasks(job) == (open_.contains(&job)) && is_over(job) == (over_.contains(uid)) &&
-           (is_live(job) && job.cancelled) == (cancelled_.contains(uid));
+           has_open_tasks(job) == (open_jobs_.contains(&job)) &&
+           needs_finalizing(job) == (jobs_to_finalize_.contains(uid)) &&
+           (is_live(job) && job.cancelled) == (cancelled_jobs_.contains(uid));
 }
 
-bool JobStore::indexes_agree() const {
-    std::size_t open = 0;
-    std::size_t cancelled = 0;
-    std::size_t over = 0;
+bool JobStore::indexes_consistent() const {
+    std::size_t open_count = 0;
+    std::size_t cancelled_count = 0;
+    std::size_t to_finalize_count = 0;
     std::unordered_map<std::string, MachinePlacements> by_machine;
     for (const auto& [uid, job] : jobs_) {
-        if (!agrees_with_indexes(uid, job)) {
+        if (!consistent_with_indexes(uid, job)) {
             return false;
         }
-        open += has_open_tasks(job) ? 1 : 0;
-        cancelled += is_live(job) && job.cancelled ? 1 : 0;
-        over += is_over(job) ? 1 : 0;
+        open_count += has_open_tasks(job) ? 1 : 0;
+        cancelled_count += is_live(job) && job.cancelled ? 1 : 0;
+        to_finalize_count += needs_finalizing(job) ? 1 : 0;
         for (const auto& [index, block] : job.blocks) {
             for (const auto& [task, placement] : block.placed) {
                 if (job.revision != 0) {
@@ -209,28 +213,29 @@
             }
         }
     }
-    return open == open_.size() && cancelled == cancelled_.size() && over == over_.size() &&
-           placements_.agrees_with(by_machine);
+    return open_count == open_jobs_.size() && cancelled_count == cancelled_jobs_.size() &&
+           to_finalize_count == jobs_to_finalize_.size() && placements_.agrees_with(by_machine);
 }
 
-bool JobStore::needed(const BatchEntry& entry) const {
+bool JobStore::is_entry_needed(const BatchEntry& entry) const {
     const Job* job = find(entry.uid);
     return job != nullptr && (job->page_size > 0 || job->block(entry.block).recorded < entry.at);
 }
 
-std::vector<Condition> JobStore::alive(const Job& job) {
+std::vector<Condition> JobStore::live_conditions(const Job& job) {
     if (job.own_record) {
         return {{keys::job(job.spec.uid), job.revision}};
     }
-    // A record that is shared changes for other jobs' sake. The job's end shows in the final state,
-    // which stands in its only block, on which every change is conditional as well, or where it was
-    // moved to.
+    // A shared record also changes on behalf of its other jobs, so its revision can't be a
+    // condition. The end of this job shows in its final state, which is either in its only block
+    // record, on whose revision every change is conditional as well, or was moved to
+    // `keys::finished`.
     return {{keys::job(job.spec.uid), 0}, {keys::finished(job.spec.uid), 0}};
 }
 
-FeatureLevel JobStore::level(const std::string& name) const {
-    auto it = levels_.find(keys::version(name));
-    return it == levels_.end() ? FeatureLevel::none : it->second;
+FeatureLevel JobStore::feature_level(const std::string& name) const {
+    auto it = feature_levels_.find(keys::version(name));
+    return it == feature_levels_.end() ? FeatureLevel::none : it->second;
 }
 
 const Job* JobStore::find(const std::string& uid) const {
@@ -238,14 +243,14 @@
     return it != jobs_.end() && is_live(it->second) ? &it->second : nullptr;
 }
 
-const Finished* JobStore::finished(const std::string& uid) const {
+const Finished* JobStore::final_state(const std::string& uid) const {
     auto it = jobs_.find(uid);
     return it == jobs_.end() || !it->second.final ? nullptr : &*it->second.final;
 }
 
-const Cordon* JobStore::mark(const std::string& machine) const {
-    const auto& mark = placements_.find(machine).mark;
-    return mark ? &*mark : nullptr;
+const Cordon* JobStore::cordon(const std::string& machine) const {
+    const auto& cordon = placements_.find(machine).cordon;
+    return cordon ? &*cordon : nullptr;
 }
 
 const Placement* JobStore::placement(const TaskId& id) const {
--- a/src/core/store/job_store.hpp
+++ b/src/core/store/job_store.hpp
@@ -1,6 +1,6 @@
-// JobStore: this controller's replica of the durable records, kept up to date by the watch. It
-// holds every key below `keys::live` as of one revision; nothing else in the core keeps durable
-// state.
+/// JobStore: this controller's local replica of the durable records, kept up to date by the watch.
+/// It holds every key below `keys::live` as of one revision; nothing else in the core keeps durable
+/// state.
 #pragma once
 
 #include <algorithm>
@@ -27,121 +27,133 @@
 
 namespace cranemoor::core {
 
-/// The local replica of the records, with the indexes that the core asks for.
+/// The local replica of the records, with the indexes that the core queries.
 class JobStore {
   public:
-    /// A final state by the revision at which it was written: the oldest first.
+    /// The revision at which a job's final state was written, and the job's uid.
     using FinalState = std::pair<Revision, std::string>;
-    /// Parts of a job's list of dependencies, by number.
+    /// Parts of a job's dependency list, by part number.
     using DependencyParts = std::map<int, std::vector<std::string>>;
-    /// A task whose placement appeared, with that placement.
+    /// A newly placed task and its placement.
     using NewPlacement = std::pair<TaskId, Placement>;
 
-    /// Begins to read all records anew: everything known is dropped.
+    /// Starts a full read of all records: drops everything except pending cancellations.
     void begin_load();
-    /// Takes in one page of the full read.
+    /// Applies one page of results of the full read.
     void load(const std::vector<Event>& items);
-    /// Ends the full read, which is complete as of that revision.
+    /// Ends the full read; the replica is complete as of that revision.
     void end_load(Revision revision);
-    /// Takes in one event of the watch. Events follow in order of revision.
+    /// Applies one watch event; events must arrive in order of revision. An event that is not newer
+    /// than the replica's record of that key is ignored, unless its revision is 0.
     void apply(const Event& event);
-    /// Notes that the watch has delivered everything up to that revision.
-    void advance(Revision revision) { revision_ = std::max(revision_, revision); }
+    /// Records that the watch has delivered all events up to that revision.
+    void advance_revision(Revision revision) { revision_ = std::max(revision_, revision); }
 
-    /// Whether a full read has ended.
+    /// Whether a full read has completed.
     bool loaded() const { return loaded_; }
-    /// How often a full read has begun. Pointers to jobs and machines from before the last one are
-    /// no longer valid.
-    std::uint64_t loads() const { return loads_; }
+    /// Number of full reads started. Pointers to jobs and machines that were obtained before the
+    /// last one started are no longer valid.
+    std::uint64_t load_count() const { return load_count_; }
     /// The revision as of which the replica is complete.
     Revision revision() const { return revision_; }
-    /// The revision of a record, 0 if it doesn't exist.
+    /// The revision of a record; 0 if it doesn't exist.
     Revision revision_of(const std::string& key) const;
 
-    /// The membership epoch, if there is one.
+    /// The membership epoch; empty if there is none yet.
     const std::optional<Epoch>& epoch() const { return epoch_; }
-    /// The records attached to controllers' leases, by key.
-    const std::map<std::string, Member>& member_keys() const { return member_keys_; }
-    /// The admission table, if there is one.
-    const std::optional<admission::Table>& table() const { return table_; }
+    /// The member records, which are attached to the controllers' leases, by key.
+    const std::map<std::string, Member>& member_records() const { return member_records_; }
+    /// The admission table; empty if there is none yet.
+    const std::optional<admission::Table>& admission_table() const { return table_; }
     /// The quota slices of each team, by key.
-    const std::map<std::string, Slices>& slices() const { return slices_; }
-    /// The highest feature level that the controller of that name has run, none if it is unknown.
-    FeatureLevel level(const std::string& name) const;
+    const std::map<std::string, Slices>& quota_slices() const { return quota_slices_; }
+    /// The highest feature level that the controller of that name has run; `FeatureLevel::none` if
+    /// it is unknown.
+    FeatureLevel feature_level(const std::string& name) const;
 
-    /// All jobs with any record, by uid.
+    /// All jobs that have at least one record, by uid.
     const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-    /// A job that has no final state, or none.
+    /// The live job with that uid: listed by a record and without a final state; null if there is
+    /// none.
     const Job* find(const std::string& uid) const;
-    /// The final state of a job whose records are still here, or none.
-    const Finished* finished(const std::string& uid) const;
-    /// What must hold for a change to the tasks of a job that the replica takes for live.
-    static std::vector<Condition> alive(const Job& job);
-    /// The records that list several jobs, by key.
+    /// The final state of a job whose records are still in the replica; null if there is none.
+    const Finished* final_state(const std::string& uid) const;
+    /// The conditions that a transaction needs to change the tasks of a job that is live in the
+    /// replica, in addition to those on the blocks that it changes.
+    static std::vector<Condition> live_conditions(const Job& job);
+    /// The jobs of each record that lists several jobs, by key of the record.
     const std::map<std::string, JobListing>& listings() const { return listings_.listings(); }
-    /// The size of such a record's value in bytes, 0 if it is unknown.
+    /// Size in bytes of the value of such a record; 0 if it is unknown.
     std::size_t listing_bytes(const std::string& key) const { return listings_.bytes(key); }
-    /// Jobs with a final state, whose records may be moved away, the oldest first.
+    /// Jobs with a final state, whose records may be archived, oldest final state first.
     const std::set<FinalState>& final_states() const { return final_states_; }
-    /// Parts of the dependency lists that have records of their own, by uid.
-    const std::map<std::string, DependencyParts>& follow_parts() const { return follow_parts_; }
-
-    /// Jobs with tasks to place.
-    const std::unordered_set<const Job*>& open() const { return open_; }
-    /// Cancelled jobs without a final state.
-    const std::set<std::string>& cancelled() const { return cancelled_; }
-    /// Jobs of which a final state is to be written or records are to be removed.
-    const std::set<std::string>& over() const { return over_; }
-    /// Whether all indexes equal what is counted anew from the jobs; for tests.
-    bool indexes_agree() const;
-
-    /// The entries of each record of batched claims, by key.
+    /// Parts of dependency lists that are stored in records of their own, by uid.
+    const std::map<std::string, DependencyParts>& dependency_parts() const {
+        return dependency_parts_;
+    }
+
+    /// Live jobs with tasks to place: not cancelled and not waiting for other jobs.
+    const std::unordered_set<const Job*>& open_jobs() const { return open_jobs_; }
+    /// Cancelled jobs without a final state, by uid.
+    const std::set<std::string>& cancelled_jobs() const { return cancelled_jobs_; }
+    /// Uids of ended jobs whose final state must still be written or whose remaining records must
+    /// still be deleted.
+    const std::set<std::string>& jobs_to_finalize() const { return jobs_to_finalize_; }
+    /// Whether the indexes equal a recount from all jobs. For tests.
+    bool indexes_consistent() const;
+
+    /// The entries of each claim batch record, by key.
     const std::map<std::string, BatchEntries>& claim_batches() const {
         return claim_batches_.records();
     }
-    /// Whether a batch record must keep that entry, since no other record holds what it says.
-    bool needed(const BatchEntry& entry) const;
+    /// Whether the claim batch record must keep that entry: the job is live, and no block record is
+    /// known to include the entry.
+    bool is_entry_needed(const BatchEntry& entry) const;
 
-    /// What the records say of a machine, see `PlacementIndex::machine`. To be asked again after
-    /// each full read.
-    std::shared_ptr<const MachinePlacements> site(const std::string& machine) {
+    /// Placements and cordon of a machine, see `PlacementIndex::machine`. The pointer must be
+    /// fetched again after each full read.
+    std::shared_ptr<const MachinePlacements> machine_placements(const std::string& machine) {
         return placements_.machine(machine);
     }
-    /// Drops machines of which nothing is known and that nobody keeps.
-    void forget_sites() { placements_.forget_unused_machines(); }
-    /// The tasks placed on a machine.
-    const std::map<TaskId, PlacedTask>& on_machine(const std::string& machine) const {
+    /// See `PlacementIndex::forget_unused_machines`.
+    void forget_unused_machines() { placements_.forget_unused_machines(); }
+    /// The tasks that are placed on a machine; empty if there are none.
+    const std::map<TaskId, PlacedTask>& tasks_on_machine(const std::string& machine) const {
         return placements_.find(machine).tasks;
     }
     /// The records of cordoned machines, by key.
-    const std::map<std::string, CordonBatch>& marks() const { return placements_.marks(); }
-    /// The cordon of a machine, or none.
-    const Cordon* mark(const std::string& machine) const;
-    /// The placement of a task of a live job, or none.
+    const std::map<std::string, CordonBatch>& cordon_batches() const {
+        return placements_.cordon_batches();
+    }
+    /// The cordon of a machine; null if it is not cordoned.
+    const Cordon* cordon(const std::string& machine) const;
+    /// The placement of a task; null if it is not placed or its job is not live.
     const Placement* placement(const TaskId& id) const;
-    /// What the placed tasks of a team take.
+    /// Resources of a team's placed tasks.
     const Resources& used(const std::string& team) const { return placements_.used(team); }
-    /// What the placed tasks of a team take that are charged to one member's quota slice.
-    Resources used(const std::string& team, std::uint64_t charge) const {
-        return placements_.used(team, charge);
+    /// Resources of a team's placed tasks that are charged to the quota slice of one member.
+    Resources used(const std::string& team, std::uint64_t member_id) const {
+        return placements_.used(team, member_id);
     }
 
-    /// Treats a job as cancelled whose cancellation is durable although the replica doesn't show it
-    /// yet: written by this controller, or handed over by another. False: it was known, or the job
-    /// has a final state or is unknown; an unknown job has no tasks either.
-    bool note_cancelled(const std::string& uid, double wall);
-    /// Treats a job as having at least that priority.
-    void lend_priority(const std::string& uid, Priority priority);
+    /// Treats a job as cancelled from now on, at that wall time in seconds. The cancellation must
+    /// be durable already, written by this controller or received from another one; only the
+    /// replica may still lag behind. Returns false if the job is already cancelled, has a final
+    /// state, or is unknown (an unknown job has no tasks either).
+    bool note_cancelled(const std::string& uid, double cancelled_wall_s);
+    /// Sets the priority that a job inherits from its dependent jobs. Its effective priority is the
+    /// higher one of this and its own.
+    void set_inherited_priority(const std::string& uid, Priority priority);
 
-    /// Placements that appeared since the last call.
+    /// Returns the placements that were added since the last call.
     std::vector<NewPlacement> take_new_placements() { return std::exchange(new_placements_, {}); }
-    /// Machines whose placements or cordon changed since the last call.
-    std::set<std::string> take_touched_machines() { return placements_.take_touched_machines(); }
-    /// Jobs that changed since the last call.
-    std::set<std::string> take_touched_jobs() { return std::exchange(touched_jobs_, {}); }
+    /// Returns the machines whose placements or cordon changed since the last call.
+    std::set<std::string> take_changed_machines() { return placements_.take_changed_machines(); }
+    /// Returns the uids of the jobs that changed since the last call.
+    std::set<std::string> take_changed_jobs() { return std::exchange(changed_jobs_, {}); }
 
   private:
-    // Records, by kind (job_store_records.cpp).
+    // Changes by kind of record (job_store_records.cpp).
     void put(const std::string& key, const Json& value, Revision revision);
     void put_job(const std::string& uid, const Json& value, Revision revision, bool own);
     void put_listing(const std::string& key, const Json& value, Revision revision);
@@ -150,15 +162,15 @@
     void put_dependencies(const IndexedKey& key, std::vector<std::string> part);
     void put_claim_batch(const std::string& key, const ClaimBatch& batch);
     void put_quota(const std::string& key, const Json& value, Revision revision);
-    void put_marks(const std::string& key, const Json& value, Revision revision);
+    void put_cordons(const std::string& key, const Json& value, Revision revision);
     void drop(const std::string& key);
     void drop_job(const std::string& uid);
     void drop_block(const IndexedKey& key);
     void drop_page(const IndexedKey& key);
     void drop_dependencies(const IndexedKey& key);
 
-    // The state of jobs and their blocks.
-    static void adopt_record(Job& job, JobRecord record);
+    // The state of jobs and of their blocks.
+    static void apply_job_record(Job& job, JobRecord record);
     void set_block(Job& job, int index, Block next);
     void remove_block(Job& job, int index);
     void remove_blocks_without_record(Job& job);
@@ -169,35 +181,35 @@
     void derive_missing_pages(Job& job);
     void gather_dependencies(const std::string& uid);
     void remove_if_unlisted(const std::string& uid);
-    void after_removal(const std::string& uid);
+    void erase_if_no_records(const std::string& uid);
     void erase(const std::string& uid);
 
     // The indexes over jobs.
-    void classify(const std::string& uid, Job& job);
+    void update_indexes(const std::string& uid, Job& job);
     void update_cancellation(const std::string& uid, Job& job);
-    bool agrees_with_indexes(const std::string& uid, const Job& job) const;
+    bool consistent_with_indexes(const std::string& uid, const Job& job) const;
 
     bool loaded_ = false;
-    std::uint64_t loads_ = 0;
+    std::uint64_t load_count_ = 0;
     Revision revision_ = 0;
     std::unordered_map<std::string, Revision> revisions_;  // by key
     std::optional<Epoch> epoch_;
-    std::map<std::string, Member> member_keys_;
+    std::map<std::string, Member> member_records_;
     std::optional<admission::Table> table_;
-    std::map<std::string, Slices> slices_;
-    std::map<std::string, FeatureLevel> levels_;  // by key
+    std::map<std::string, Slices> quota_slices_;
+    std::map<std::string, FeatureLevel> feature_levels_;  // by key
     std::unordered_map<std::string, Job> jobs_;
-    std::map<std::string, DependencyParts> follow_parts_;
+    std::map<std::string, DependencyParts> dependency_parts_;
     ListingIndex listings_;
     ClaimBatchIndex claim_batches_;
     PlacementIndex placements_;
     std::set<FinalState> final_states_;
-    std::unordered_set<const Job*> open_;
-    std::set<std::string> cancelled_;
-    std::set<std::string> over_;
-    // Cancellations that the records don't show yet: wall time, by uid.
+    std::unordered_set<const Job*> open_jobs_;
+    std::set<std::string> cancelled_jobs_;
+    std::set<std::string> jobs_to_finalize_;
+    // Durable cancellations that the replica does not show yet: wall time in seconds, by uid.
     std::map<std::string, double> pending_cancellations_;
-    std::set<std::string> touched_jobs_;
+    std::set<std::string> changed_jobs_;
     std::vector<NewPlacement> new_placements_;
 };
 
--- a/src/core/store/job_store_blocks.cpp
+++ b/src/core/store/job_store_blocks.cpp
@@ -1,5 +1,5 @@
-// How the blocks of a job follow from its block records, the records of its split blocks and the
-// entries of batch records.
+// Derives the state of a job's blocks from its block records, its page records and the entries of
+// claim batch records.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace cranemoor::core {
 
 namespace {
-// Adds to `page` what a block record says of the tasks of that range.
+// Copies the state of the tasks in that range from a block record to `page`.
 void copy_tasks(const Block& record, const TaskRange& tasks, Block& page) {
     page.attempt = std::max(page.attempt, record.attempt);
     page.merged = std::max(page.merged, record.merged);
@@ -27,17 +27,17 @@
 }  // namespace
 
 void JobStore::set_block(Job& job, int index, Block next) {
-    auto known = job.blocks.find(index);
-    if (known != job.blocks.end() && job.revision != 0) {
-        placements_.remove(job, known->second);
+    auto existing = job.blocks.find(index);
+    if (existing != job.blocks.end() && job.revision != 0) {
+        placements_.remove(job, existing->second);
     }
     for (const auto& [task, placement] : next.placed) {
-        const Placement* earlier = nullptr;
-        if (known != job.blocks.end()) {
-            auto it = known->second.placed.find(task);
-            earlier = it == known->second.placed.end() ? nullptr : &it->second;
+        const Placement* previous = nullptr;
+        if (existing != job.blocks.end()) {
+            auto it = existing->second.placed.find(task);
+            previous = it == existing->second.placed.end() ? nullptr : &it->second;
         }
-        if (earlier == nullptr || earlier->attempt != placement.attempt) {
+        if (previous == nullptr || previous->attempt != placement.attempt) {
             new_placements_.emplace_back(TaskId{job.spec.uid, task}, placement);
         }
     }
@@ -58,9 +58,9 @@
     job.blocks.erase(it);
 }
 
-// Guards against a claim or an exit that is lost, since the record of its block was written by a
-// controller that did not know of it yet: each record says up to which revision it holds the
-// entries of batch records.
+// Applies the claim batch entries that a block record does not include yet: each record says up to
+// which revision it includes them. Otherwise a claim or a task exit would be lost if a controller
+// that did not know of it yet wrote the record of its block.
 void JobStore::apply_batch_entries(const IndexedKey& key, Block& next) const {
     if (next.final || !loaded_) {
         return;
@@ -76,7 +76,7 @@
 void JobStore::apply_batch_entry(const BatchEntry& entry) {
     auto it = jobs_.find(entry.uid);
     if (!loaded_ || it == jobs_.end() || it->second.revision == 0 || it->second.final) {
-        return;  // applied once the job is known, or of no use any more
+        return;  // applied once the job is known; without effect after the final state
     }
     Job& job = it->second;
     if (job.page_size > 0) {
@@ -86,10 +86,11 @@
         apply_entry(next, entry);
         set_block(job, entry.block, std::move(next));
     }
-    classify(entry.uid, job);
+    update_indexes(entry.uid, job);
 }
 
-// A job's blocks may have been split after the entry was written.
+// For a job with pages: its blocks may have been split after the entry was written, so the entry is
+// applied to the block record, and its exits also to the pages that have a record.
 void JobStore::apply_batch_entry_to_pages(Job& job, const BatchEntry& entry) {
     Block& record = job.whole[entry.block];
     if (record.merged < entry.at) {
@@ -105,7 +106,7 @@
     }
 }
 
-// What is true of a split block's tasks while it has no record: what the block records say.
+// Derives the state of a page without a record from the block records that cover its tasks.
 void JobStore::derive_page(Job& job, int index) {
     Block page;
     TaskRange tasks{job.block_first(index), job.block_last(index)};
@@ -121,7 +122,7 @@
 
 void JobStore::derive_missing_pages(Job& job) {
     if (job.first_record().final) {
-        return;  // nothing else counts any more
+        return;  // the final state supersedes the state of all tasks
     }
     for (int index = 0; index < job.block_count(); ++index) {
         if (!job.pages.contains(index)) {
--- a/src/core/store/job_store_records.cpp
+++ b/src/core/store/job_store_records.cpp
@@ -1,4 +1,4 @@
-// How each kind of record changes the replica.
+// Applies the change of a record to the replica, by kind of record.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
             epoch_ = decode_epoch(value);
             break;
         case RecordKind::member:
-            member_keys_[key] = decode_member(value);
+            member_records_[key] = decode_member(value);
             break;
         case RecordKind::job:
             put_job(value.at("uid").get<std::string>(), value, revision, true);
@@ -31,7 +31,7 @@
             put_dependencies(parse_indexed_key(key), decode_follows(value));
             break;
         case RecordKind::version:
-            levels_[key] = decode_level(value);
+            feature_levels_[key] = decode_level(value);
             break;
         case RecordKind::admission_table:
             table_ = decode_table(value, revision);
@@ -40,10 +40,10 @@
             put_claim_batch(key, decode_claim_batch(value, revision));
             break;
         case RecordKind::quota:
-            slices_[key] = decode_slices(value, revision);
+            quota_slices_[key] = decode_slices(value, revision);
             break;
         case RecordKind::cordons:
-            placements_.put_marks(key, decode_cordons(value, revision));
+            placements_.put_cordons(key, decode_cordons(value, revision));
             break;
         case RecordKind::unknown:
             break;
@@ -57,7 +57,7 @@
             epoch_.reset();
             break;
         case RecordKind::member:
-            member_keys_.erase(key);
+            member_records_.erase(key);
             break;
         case RecordKind::job:
             drop_job(uid_of_job_key(key));
@@ -77,7 +77,7 @@
             drop_dependencies(parse_indexed_key(key));
             break;
         case RecordKind::version:
-            levels_.erase(key);
+            feature_levels_.erase(key);
             break;
         case RecordKind::admission_table:
             table_.reset();
@@ -86,52 +86,52 @@
             put_claim_batch(key, {});
             break;
         case RecordKind::quota:
-            slices_.erase(key);
+            quota_slices_.erase(key);
             break;
         case RecordKind::cordons:
-            placements_.drop_marks(key);
+            placements_.drop_cordons(key);
             break;
         case RecordKind::unknown:
             break;
     }
 }
 
-// The job as a record lists it: its own, or one that it shares.
+// Applies a job as a record lists it: the job's own one, or one that it shares with other jobs.
 void JobStore::put_job(const std::string& uid, const Json& value, Revision revision, bool own) {
     Job& job = jobs_[uid];
     if (!own && job.own_record) {
-        return;  // a record of its own goes before one that it shares
+        return;  // the job's own record takes precedence over a shared one
     }
-    bool first = job.revision == 0;
+    bool newly_listed = job.revision == 0;
     JobRecord record = decode_job(value);
     bool newly_split = record.page_size > 0 && job.page_size == 0;
-    if (newly_split && !first) {
+    if (newly_split && !newly_listed) {
         for (const auto& [index, block] : job.blocks) {
             placements_.remove(job, block);
         }
     }
-    adopt_record(job, std::move(record));
+    apply_job_record(job, std::move(record));
     job.own_record = own;
     job.revision = revision;
     gather_dependencies(uid);
     if (newly_split) {
         job.whole = std::exchange(job.blocks, {});
         derive_missing_pages(job);
-    } else if (first) {
+    } else if (newly_listed) {
         for (const auto& [index, block] : job.blocks) {
             placements_.add(job, block);
         }
     }
-    if (first && loaded_) {
+    if (newly_listed && loaded_) {
         for (const auto& entry : claim_batches_.of_job(uid)) {
             apply_batch_entry(*entry);
         }
     }
-    classify(uid, job);
+    update_indexes(uid, job);
 }
 
-// Copies what a record says of the job itself. A priority that it inherited stays.
-void JobStore::adopt_record(Job& job, JobRecord record) {
+// Copies the job's own fields from its record. A higher inherited priority is kept.
+void JobStore::apply_job_record(Job& job, JobRecord record) {
     Priority priority = record.spec.priority;
     if (job.revision != 0) {
         priority = std::max(priority, job.spec.priority);
@@ -169,10 +169,11 @@
     listings_.set_bytes(key, value.dump().size());
 }
 
-// Takes a job out that no record lists any more.
+// Removes a job that no record lists any longer from the placement index, and erases it unless
+// blocks or pages of it remain.
 void JobStore::remove_if_unlisted(const std::string& uid) {
     auto it = jobs_.find(uid);
-    if (it == jobs_.end() || it->second.own_record || listings_.has(uid)) {
+    if (it == jobs_.end() || it->second.own_record || listings_.is_listed(uid)) {
         return;
     }
     Job& job = it->second;
@@ -180,7 +181,7 @@
         placements_.remove(job, block);
     }
     job.revision = 0;
-    after_removal(uid);
+    erase_if_no_records(uid);
 }
 
 void JobStore::put_block(const IndexedKey& key, Block next) {
@@ -192,20 +193,20 @@
     apply_batch_entries(key, next);
     if (job.page_size == 0) {
         set_block(job, key.index, std::move(next));
-        classify(key.uid, job);
+        update_indexes(key.uid, job);
         return;
     }
     bool final = next.final.has_value();
     job.whole[key.index] = std::move(next);
     if (final) {
-        // Old places in records still to be removed must not come back to life.
+        // Outdated placements in records that are yet to be deleted must not become valid again.
         while (!job.blocks.empty()) {
             remove_block(job, job.blocks.begin()->first);
         }
     } else {
         derive_missing_pages(job);
     }
-    classify(key.uid, job);
+    update_indexes(key.uid, job);
 }
 
 void JobStore::drop_block(const IndexedKey& key) {
@@ -219,7 +220,7 @@
     } else if (job.whole.erase(key.index) != 0) {
         derive_missing_pages(job);
     }
-    after_removal(key.uid);
+    erase_if_no_records(key.uid);
 }
 
 void JobStore::put_page(const IndexedKey& key, Block next) {
@@ -237,7 +238,7 @@
         }
         set_block(job, key.index, std::move(next));
     }
-    classify(key.uid, job);
+    update_indexes(key.uid, job);
 }
 
 void JobStore::drop_page(const IndexedKey& key) {
@@ -250,41 +251,41 @@
     if (job.revision != 0) {
         derive_missing_pages(job);
     }
-    after_removal(key.uid);
+    erase_if_no_records(key.uid);
 }
 
 void JobStore::put_dependencies(const IndexedKey& key, std::vector<std::string> part) {
-    follow_parts_[key.uid][key.index] = std::move(part);
+    dependency_parts_[key.uid][key.index] = std::move(part);
     gather_dependencies(key.uid);
 }
 
 void JobStore::drop_dependencies(const IndexedKey& key) {
-    auto it = follow_parts_.find(key.uid);
-    if (it == follow_parts_.end()) {
+    auto it = dependency_parts_.find(key.uid);
+    if (it == dependency_parts_.end()) {
         return;
     }
     it->second.erase(key.index);
     if (it->second.empty()) {
-        follow_parts_.erase(it);
+        dependency_parts_.erase(it);
     }
 }
 
-// Puts a job's dependency list together from the records that hold its parts.
+// Assembles a job's dependency list from the records that hold its parts.
 void JobStore::gather_dependencies(const std::string& uid) {
     auto it = jobs_.find(uid);
-    auto parts = follow_parts_.find(uid);
-    if (it == jobs_.end() || parts == follow_parts_.end() || it->second.follow_parts == 0) {
+    auto parts = dependency_parts_.find(uid);
+    if (it == jobs_.end() || parts == dependency_parts_.end() || it->second.follow_parts == 0) {
         return;
     }
     auto& follows = it->second.spec.follows;
     follows.clear();
     for (const auto& [number, part] : parts->second) {
         if (number >= it->second.follow_parts) {
-            break;  // left of an earlier try
+            break;  // left over from an earlier attempt to write the list
         }
         follows.insert(follows.end(), part.begin(), part.end());
     }
-    touched_jobs_.insert(uid);
+    changed_jobs_.insert(uid);
 }
 
 void JobStore::put_claim_batch(const std::string& key, const ClaimBatch& batch) {
@@ -293,13 +294,13 @@
     }
 }
 
-// Erases a job of which no record is left.
-void JobStore::after_removal(const std::string& uid) {
+// Erases a job that has no record left; otherwise updates its totals and indexes.
+void JobStore::erase_if_no_records(const std::string& uid) {
     Job& job = jobs_.at(uid);
     if (job.revision == 0 && job.blocks.empty() && job.whole.empty() && job.pages.empty()) {
         erase(uid);
     } else {
-        classify(uid, job);
+        update_indexes(uid, job);
     }
 }
 
--- a/src/core/store/listing_index.cpp
+++ b/src/core/store/listing_index.cpp
@@ -6,19 +6,19 @@
 
 ListingChange ListingIndex::put(const std::string& key, const Json& jobs) {
     ListingChange change;
-    JobListing now;
-    JobListing& before = listings_[key];
+    JobListing uids;
+    JobListing& listing = listings_[key];
     for (const auto& job : jobs) {
         auto uid = job.at("uid").get<std::string>();
-        now.insert(uid);
-        if (before.erase(uid) == 0 && ++count_[uid] == 1) {
+        uids.insert(uid);
+        if (listing.erase(uid) == 0 && ++listing_counts_[uid] == 1) {
             change.added.push_back(&job);
         }
     }
-    std::swap(now, before);
-    for (const auto& uid : now) {  // not listed there any more
-        if (--count_[uid] == 0) {
-            count_.erase(uid);
+    std::swap(uids, listing);
+    for (const auto& uid : uids) {  // after the swap: those that only the earlier value listed
+        if (--listing_counts_[uid] == 0) {
+            listing_counts_.erase(uid);
             change.removed.push_back(uid);
         }
     }
--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -8,14 +8,16 @@
 namespace {
 bool same_task(const std::pair<const TaskId, PlacedTask>& a,
                const std::pair<const TaskId, PlacedTask>& b) {
-    return a.first == b.first && a.second.job == b.second.job && a.second.place == b.second.place;
+    return a.first == b.first && a.second.job == b.second.job &&
+           a.second.placement == b.second.placement;
 }
 
-bool agree(const MachinePlacements& a, const MachinePlacements& b) {
-    Resources gap = a.used - b.used;
+bool same_placements(const MachinePlacements& a, const MachinePlacements& b) {
+    Resources difference = a.used - b.used;
     return std::equal(a.tasks.begin(), a.tasks.end(), b.tasks.begin(), b.tasks.end(), same_task) &&
-           std::abs(gap.cpus) < Resources::slack && std::abs(gap.gpus) < Resources::slack &&
-           std::abs(gap.memory_gb) < Resources::slack;
+           std::abs(difference.cpus) < Resources::slack &&
+           std::abs(difference.gpus) < Resources::slack &&
+           std::abs(difference.memory_gb) < Resources::slack;
 }
 }  // namespace
 
@@ -36,7 +38,7 @@
 void PlacementIndex::forget_unused_machines() {
     std::erase_if(machines_, [](const auto& machine) {
         const auto& placements = machine.second;
-        return placements.use_count() == 1 && placements->tasks.empty() && !placements->mark;
+        return placements.use_count() == 1 && placements->tasks.empty() && !placements->cordon;
     });
 }
 
@@ -51,42 +53,42 @@
             machine.tasks.erase(id);
             machine.used -= job.spec.each;
         }
-        touched_machines_.insert(placement.machine);
+        changed_machines_.insert(placement.machine);
         used_by_team_[job.spec.team] += job.spec.each * sign;
         used_by_member_[{job.spec.team, placement.charge}] += job.spec.each * sign;
     }
 }
 
-void PlacementIndex::put_marks(const std::string& key, CordonBatch marks) {
-    auto changed = std::exchange(marks_[key].machines, {});
-    changed.insert(marks.machines.begin(), marks.machines.end());
-    marks_[key] = std::move(marks);
+void PlacementIndex::put_cordons(const std::string& key, CordonBatch batch) {
+    auto changed = std::exchange(cordon_batches_[key].machines, {});
+    changed.insert(batch.machines.begin(), batch.machines.end());
+    cordon_batches_[key] = std::move(batch);
     update_cordons(changed);
 }
 
-void PlacementIndex::drop_marks(const std::string& key) {
-    auto it = marks_.find(key);
-    if (it == marks_.end()) {
+void PlacementIndex::drop_cordons(const std::string& key) {
+    auto it = cordon_batches_.find(key);
+    if (it == cordon_batches_.end()) {
         return;
     }
     auto changed = std::move(it->second.machines);
-    marks_.erase(it);
+    cordon_batches_.erase(it);
     update_cordons(changed);
 }
 
-// Derives the cordon of these machines anew from all records that name them.
+// Recomputes the cordons of these machines from all records that name them.
 void PlacementIndex::update_cordons(const std::set<std::string>& machines) {
     for (const auto& name : machines) {
-        entry(name)->mark.reset();
-        touched_machines_.insert(name);
+        entry(name)->cordon.reset();
+        changed_machines_.insert(name);
     }
-    for (const auto& [key, marks] : marks_) {
+    for (const auto& [key, batch] : cordon_batches_) {
         for (const auto& name : machines) {
-            if (marks.machines.contains(name)) {
-                auto& kept = entry(name)->mark;
-                Cordon& mark = kept ? *kept : kept.emplace();
-                mark.fence = mark.fence || marks.fence;
-                mark.gone = mark.gone || marks.gone.contains(name);
+            if (batch.machines.contains(name)) {
+                auto& combined = entry(name)->cordon;
+                Cordon& cordon = combined ? *combined : combined.emplace();
+                cordon.fence = cordon.fence || batch.fence;
+                cordon.gone = cordon.gone || batch.gone.contains(name);
             }
         }
     }
@@ -98,8 +100,8 @@
     return it == used_by_team_.end() ? none : it->second;
 }
 
-Resources PlacementIndex::used(const std::string& team, std::uint64_t charge) const {
-    auto it = used_by_member_.find({team, charge});
+Resources PlacementIndex::used(const std::string& team, std::uint64_t member_id) const {
+    auto it = used_by_member_.find({team, member_id});
     return it == used_by_member_.end() ? Resources{} : it->second;
 }
 
@@ -110,7 +112,7 @@
     });
     return static_cast<std::ptrdiff_t>(counted.size()) == with_tasks &&
            std::all_of(counted.begin(), counted.end(), [&](const auto& machine) {
-               return agree(find(machine.first), machine.second);
+               return same_placements(find(machine.first), machine.second);
            });
 }
 
--- a/src/core/store/placement_index.hpp
+++ b/src/core/store/placement_index.hpp
@@ -1,5 +1,5 @@
-// What the records say of each machine and of each team: the tasks placed on a machine, the
-// resources they take, whether it is cordoned, and the resources that a team's tasks take.
+/// PlacementIndex: the tasks placed on each machine, the resources that they take, whether the
+/// machine is cordoned, and the resources that each team's placed tasks take.
 #pragma once
 
 #include <cstdint>
@@ -17,61 +17,61 @@
 
 namespace cranemoor::core {
 
-/// A task with its placement; valid as long as the records stay as they are.
+/// The job and the placement of a placed task. The pointers are valid until the records change.
 struct PlacedTask {
     const Job* job = nullptr;
-    const Placement* place = nullptr;
+    const Placement* placement = nullptr;
 };
 
-/// What the records say of one machine.
+/// Placements and cordon of one machine.
 struct MachinePlacements {
     std::map<TaskId, PlacedTask> tasks;
-    Resources used;              ///< by these tasks
-    std::optional<Cordon> mark;  ///< the cordon, over all records that name the machine
+    Resources used;                ///< total of these tasks
+    std::optional<Cordon> cordon;  ///< combined from all records that name the machine; empty: none
 };
 
-/// Index of placements by machine and by team, and of cordons by machine. `JobStore` keeps it.
+/// Index of placements by machine and by team, and of cordons by machine. `JobStore` maintains it.
 class PlacementIndex {
   public:
-    /// Adds the placements of a block. `job` and `block` must outlive them in the index.
+    /// Adds the placements of a block. `job` and `block` must stay in place until `remove`.
     void add(const Job& job, const Block& block) { update(job, block, 1); }
-    /// Removes the placements of a block that were added before.
+    /// Removes the placements of a block, which must have been added before.
     void remove(const Job& job, const Block& block) { update(job, block, -1); }
 
-    /// What is known of a machine, now and after later changes. Whoever asks often keeps the
-    /// pointer.
+    /// Placements and cordon of a machine, created empty if unknown. The object is updated in
+    /// place, so frequent callers may keep the pointer.
     std::shared_ptr<const MachinePlacements> machine(const std::string& name) {
         return entry(name);
     }
-    /// The same as of now; empty for an unknown machine.
+    /// Placements and cordon of a machine without creating an entry; empty for an unknown machine.
     const MachinePlacements& find(const std::string& name) const;
-    /// Drops machines of which nothing is known and that nobody keeps a pointer to.
+    /// Drops machines without placements and cordon to which nobody else holds a pointer.
     void forget_unused_machines();
 
-    /// Takes in a record of cordoned machines in place of its earlier value.
-    void put_marks(const std::string& key, CordonBatch marks);
-    /// Takes in that a record of cordoned machines was deleted.
-    void drop_marks(const std::string& key);
+    /// Replaces the value of a record of cordoned machines.
+    void put_cordons(const std::string& key, CordonBatch batch);
+    /// Removes a deleted record of cordoned machines.
+    void drop_cordons(const std::string& key);
     /// The records of cordoned machines, by key.
-    const std::map<std::string, CordonBatch>& marks() const { return marks_; }
+    const std::map<std::string, CordonBatch>& cordon_batches() const { return cordon_batches_; }
 
-    /// What the placed tasks of a team take.
+    /// Resources of a team's placed tasks.
     const Resources& used(const std::string& team) const;
-    /// What the placed tasks of a team take that are charged to the quota slice of one member.
-    Resources used(const std::string& team, std::uint64_t charge) const;
+    /// Resources of a team's placed tasks that are charged to the quota slice of one member.
+    Resources used(const std::string& team, std::uint64_t member_id) const;
 
-    /// Machines whose placements or cordon changed since the last call.
-    std::set<std::string> take_touched_machines() { return std::exchange(touched_machines_, {}); }
-    /// Whether the placements by machine equal these, which were counted anew; for tests.
+    /// Returns the machines whose placements or cordon changed since the last call.
+    std::set<std::string> take_changed_machines() { return std::exchange(changed_machines_, {}); }
+    /// Whether the placements by machine equal this recount. For tests.
     bool agrees_with(const std::unordered_map<std::string, MachinePlacements>& counted) const;
 
   private:
     struct TeamMember {
         std::string team;
-        std::uint64_t member = 0;
+        std::uint64_t member_id = 0;
 
         friend bool operator<(const TeamMember& a, const TeamMember& b) {
-            return std::tie(a.team, a.member) < std::tie(b.team, b.member);
+            return std::tie(a.team, a.member_id) < std::tie(b.team, b.member_id);
         }
     };
     const std::shared_ptr<MachinePlacements>& entry(const std::string& machine);
@@ -79,8 +79,8 @@
     void update_cordons(const std::set<std::string>& machines);
 
     std::unordered_map<std::string, std::shared_ptr<MachinePlacements>> machines_;
-    std::map<std::string, CordonBatch> marks_;
-    std::set<std::string> touched_machines_;
+    std::map<std::string, CordonBatch> cordon_batches_;
+    std::set<std::string> changed_machines_;
     std::map<std::string, Resources> used_by_team_;
     std::map<TeamMember, Resources> used_by_member_;
 };
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -80,7 +80,7 @@
     // The ends of 24 tasks are collected; a gang's are one write, and so is a job's final state.
     EXPECT_LE(cluster.store.writes_by_kind["c/b"], jobs * 4);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_consistent());
     }
     // A wave: the marks of many machines share records.
     int before = cluster.store.writes_by_kind["c/x"];
--- a/tests/fault_combination_test.cpp
+++ b/tests/fault_combination_test.cpp
@@ -149,7 +149,7 @@
         }
     }
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_consistent());
     }
 }
 
--- a/tests/lowered_limit_test.cpp
+++ b/tests/lowered_limit_test.cpp
@@ -89,7 +89,7 @@
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(uid(1)); }, 120));
     EXPECT_EQ(cluster.poll_and_wait(0, uid(1)).state, "done");
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_consistent());
     }
     // All of it goes, and with the last of its jobs the listing that can't be put again.
     EXPECT_TRUE(cluster.run_until(
@@ -151,7 +151,7 @@
     cluster.store.put("c/b/" + uid(1) + "/0", block);
     cluster.run_for(1);
     const auto& jobs = cluster.controller(0).context().jobs;
-    EXPECT_TRUE(jobs.indexes_agree());
+    EXPECT_TRUE(jobs.indexes_consistent());
     EXPECT_TRUE(jobs.find(uid(1))->block(0).is_done(5));
     for (auto& [id, attempts] : cluster.machines["vm-900000"].tasks) {
         attempts[1].ends_at = cluster.now();
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -180,7 +180,7 @@
         cluster.run_for(1 + pick(4));
         for (int i = 0; i < 3; ++i) {
             ASSERT_TRUE(!cluster.is_alive(i) ||
-                        cluster.controller(i).context().jobs.indexes_agree());
+                        cluster.controller(i).context().jobs.indexes_consistent());
         }
         ASSERT_EQ(cluster.invariants.violations, std::vector<std::string>()) << "step " << step;
     }
--- a/tests/submission_test.cpp
+++ b/tests/submission_test.cpp
@@ -183,7 +183,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return moved() >= 15; }, 20)) << moved();
     EXPECT_EQ(cluster.store.find("c/b/" + uid(3) + "/0") == nullptr, !cluster.is_accepted(uid(3)));
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_agree());
+        EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_consistent());
         cluster.kill(i);
     }
     cluster.start_all();
