--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -27,10 +27,10 @@
         return;
     }
     std::vector<std::string> machines;
-    for (const auto& [key, marks] : ctx_.jobs.marks()) {
+    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
         for (const auto& name : marks.machines) {
-            const Cordon* mark = ctx_.jobs.mark(name);
-            if (!mark->released && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
+            const Cordon* mark = ctx_.jobs.cordon(name);
+            if (!mark->released && (mark->fence || ctx_.jobs.tasks_on_machine(name).empty()) &&
                 machines.size() < constants::release_machines_max) {
                 machines.push_back(name);
             }
@@ -94,7 +94,7 @@
     Txn txn;
     txn.purpose = Txn::Purpose::release_mark;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, old] : ctx_.jobs.marks()) {
+    for (const auto& [key, old] : ctx_.jobs.cordon_batches()) {
         CordonBatch marks = old;
         std::size_t bytes = constants::cordon_batch_overhead_bytes + old.reason.size();
         for (const auto& name : marks.machines) {
@@ -146,7 +146,7 @@
     };
     write_and_reset();
     for (const auto& name : machines) {
-        const Cordon* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.cordon(name);
         if (!old.machines.contains(name) || (mark != nullptr && mark->released)) {
             continue;
         }
@@ -164,12 +164,13 @@
         return;
     }
     next_deletion_at_ = ctx_.now.steady + constants::record_cleanup_interval_s;
-    std::erase_if(gone_since_,
-                  [&](const auto& entry) { return ctx_.jobs.marks().count(entry.first) == 0; });
+    std::erase_if(gone_since_, [&](const auto& entry) {
+        return ctx_.jobs.cordon_batches().count(entry.first) == 0;
+    });
     Txn txn;
     txn.purpose = Txn::Purpose::release_mark;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, marks] : ctx_.jobs.marks()) {
+    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
         if (!all_gone(key, marks)) {
             continue;
         }
@@ -192,7 +193,7 @@
 // this one to say so.
 bool MachineRelease::all_gone(const std::string& key, const CordonBatch& marks) const {
     return std::all_of(marks.machines.begin(), marks.machines.end(), [&](const auto& name) {
-        const Cordon* mark = ctx_.jobs.mark(name);
+        const Cordon* mark = ctx_.jobs.cordon(name);
         bool needed = marks.released.count(name) != 0 && only_proof_of_release(key, name);
         return mark != nullptr && mark->released && !needed;
     });
@@ -201,10 +202,11 @@
 // Whether another record of the machine doesn't say itself that it is gone.
 bool MachineRelease::only_proof_of_release(const std::string& key,
                                            const std::string& machine) const {
-    return std::any_of(ctx_.jobs.marks().begin(), ctx_.jobs.marks().end(), [&](const auto& entry) {
-        return entry.first != key && entry.second.machines.count(machine) != 0 &&
-               entry.second.released.count(machine) == 0;
-    });
+    return std::any_of(ctx_.jobs.cordon_batches().begin(), ctx_.jobs.cordon_batches().end(),
+                       [&](const auto& entry) {
+                           return entry.first != key && entry.second.machines.count(machine) != 0 &&
+                                  entry.second.released.count(machine) == 0;
+                       });
 }
 
 // Whether the machines have been gone long enough, none is still listed, and no task is recorded
@@ -217,7 +219,7 @@
         const Machine* machine = agent_manager_.registry().find(name);
         bool listed = machine != nullptr &&
                       ctx_.now.steady - machine->listed_at < constants::gone_cordon_ttl_s / 2;
-        return !listed && ctx_.jobs.on_machine(name).empty();
+        return !listed && ctx_.jobs.tasks_on_machine(name).empty();
     });
 }
 
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -72,7 +72,7 @@
 std::optional<std::vector<Cancellation>> PeerContact::known_cancellations() const {
     std::vector<Cancellation> known;
     std::size_t bytes = 0;
-    for (const auto& uid : ctx_.jobs.cancelled()) {
+    for (const auto& uid : ctx_.jobs.cancelled_jobs()) {
         bytes += uid.size() + constants::peer_cancellation_overhead_bytes;
         if (bytes > constants::peer_cancellations_bytes_max) {
             return std::nullopt;
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -44,8 +44,8 @@
 
 QuotaSlices Quota::trimmed(const Team& t) const {
     QuotaSlices next;
-    auto it = ctx_.jobs.slices().find(keys::quota(t.name));
-    if (it != ctx_.jobs.slices().end()) {
+    auto it = ctx_.jobs.quota_slices().find(keys::quota(t.name));
+    if (it != ctx_.jobs.quota_slices().end()) {
         next = it->second;
     }
     const auto& epoch = ctx_.jobs.epoch();
@@ -75,8 +75,8 @@
     }
     wanted = counted(wanted, *t);
     auto key = keys::quota(name);
-    auto it = ctx_.jobs.slices().find(key);
-    if (it != ctx_.jobs.slices().end()) {
+    auto it = ctx_.jobs.quota_slices().find(key);
+    if (it != ctx_.jobs.quota_slices().end()) {
         auto mine = it->second.by_member.find(ctx_.self.id);
         auto low = ceilings_.find(name);
         bool given_up = low != ceilings_.end() && low->second.revision == it->second.revision &&
@@ -125,7 +125,7 @@
 // What the largest start takes that the team waits for: a gang's tasks together, or one task.
 Resources Quota::largest_start(const std::string& name) const {
     Resources most;
-    for (const Job* job : ctx_.jobs.open()) {
+    for (const Job* job : ctx_.jobs.open_jobs()) {
         const JobSpec& s = job->spec;
         if (s.team == name) {
             Resources r = s.task_resources * (s.kind == JobKind::gang ? s.tasks : 1);
@@ -142,8 +142,8 @@
     next_return_ = ctx_.now.steady + constants::quota_slice_return_interval_s;
     for (const auto& t : ctx_.settings.teams) {
         auto key = keys::quota(t.name);
-        auto it = ctx_.jobs.slices().find(key);
-        if (unlimited(t) || it == ctx_.jobs.slices().end()) {
+        auto it = ctx_.jobs.quota_slices().find(key);
+        if (unlimited(t) || it == ctx_.jobs.quota_slices().end()) {
             continue;
         }
         auto mine = it->second.by_member.find(ctx_.self.id);
