--- a/src/core/store/placement_index.cpp
+++ b/src/core/store/placement_index.cpp
@@ -89,7 +89,7 @@
                 auto& combined = entry(name)->cordon;
                 Cordon& cordon = combined ? *combined : combined.emplace();
                 cordon.fence = cordon.fence || batch.fence;
-                cordon.gone = cordon.gone || batch.gone.contains(name);
+                cordon.released = cordon.released || batch.released.contains(name);
             }
         }
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -238,7 +238,7 @@
     EXPECT_EQ(status(410, Json::object()), S::compacted);
     EXPECT_EQ(status(429, Json::object()), S::refused);
     EXPECT_EQ(status(503, Json::object()), S::refused);
-    EXPECT_EQ(status(400, {{"error", "no such lease"}}), S::bad);
+    EXPECT_EQ(status(400, {{"error", "no such lease"}}), S::bad_request);
     EXPECT_EQ(status(500, Json::object()), S::unknown);
     StoreCall watch;
     watch.kind = StoreCall::Kind::watch;
@@ -263,7 +263,7 @@
     EXPECT_EQ(decode_cloud_reply(rent, 503, encode_cbor({{"error", "trouble"}})).status,
               S::unknown);
     EXPECT_EQ(decode_cloud_reply(rent, 429, "").status, S::refused);
-    EXPECT_EQ(decode_cloud_reply(rent, 400, "").status, S::bad);
+    EXPECT_EQ(decode_cloud_reply(rent, 400, "").status, S::bad_request);
     auto ok = decode_cloud_reply(rent, 200, encode_cbor({{"roosts", {"vm-1"}}}));
     EXPECT_EQ(ok.machines, std::vector<std::string>{"vm-1"});
     EXPECT_EQ(decode_cloud_reply(rent, 200, encode_cbor({{"roosts", 7}})).status, S::unknown);
