--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -10,8 +10,8 @@
         names.push_back(peer.name);
     }
     leases_.emplace(names, ctx_.boot_id, ctx_.now.steady,
-                    read_leases::Times{constants::read_lease_s, constants::read_lease_margin_s,
-                                       constants::peer_heartbeat_ttl_s});
+                    read_leases::Timing{constants::read_lease_s, constants::read_lease_margin_s,
+                                        constants::peer_heartbeat_ttl_s});
 }
 
 void PeerContact::tick() {
@@ -27,11 +27,11 @@
 }
 
 void PeerContact::on_heartbeat_without_leases(const std::string& peer) {
-    leases_->hear_older(peer);
+    leases_->on_heartbeat_without_leases(peer);
 }
 
 void PeerContact::on_heartbeat(const std::string& peer, const read_leases::Heartbeat& heartbeat) {
-    if (leases_->hear(peer, heartbeat, ctx_.now.steady, store_contact_.safe_time_s())) {
+    if (leases_->on_heartbeat(peer, heartbeat, ctx_.now.steady, store_contact_.safe_time_s())) {
         // Just started, it may not confirm cancellations until it has heard from us.
         next_heartbeat_s_ = ctx_.now.steady;
     }
@@ -45,7 +45,7 @@
 // Peers learn of a change at once: some may wait for it to confirm cancellations.
 void PeerContact::send_when_changed() {
     bool relies = relies_on_read_leases();
-    leases_->rely(relies);
+    leases_->set_relies_on_leases(relies);
     if (store_contact_.has_contact() != sent_store_contact_ || relies != sent_reliance_) {
         next_heartbeat_s_ = ctx_.now.steady;
     }
@@ -56,7 +56,7 @@
     next_heartbeat_s_ = now + constants::peer_heartbeat_interval_s;
     sent_store_contact_ = store_contact_.has_contact();
     sent_reliance_ = relies_on_read_leases();
-    leases_->begin(now);
+    leases_->begin_round(now);
     auto known = sent_store_contact_ ? std::nullopt : known_cancellations();
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
@@ -84,19 +84,19 @@
 
 LeaseHeartbeat PeerContact::lease_heartbeat(const std::string& peer,
                                             const std::optional<std::vector<Cancellation>>& known) {
-    using Knows = read_leases::Self::Knows;
-    read_leases::Self self;
-    self.contact = store_contact_.has_contact();
+    using Knowledge = read_leases::SenderState::Knowledge;
+    read_leases::SenderState self;
+    self.has_store_contact = store_contact_.has_contact();
     // Read since the start, the replica holds all that the process before confirmed: that was
     // durable first.
     bool is_complete = ctx_.jobs.loaded() && store_contact_.has_safe_time();
     if (is_complete && known) {
-        self.knows = Knows::all;
+        self.knowledge = Knowledge::complete;
     } else {
-        self.knows = replica_.has_read_all() ? Knows::some : Knows::nothing;
+        self.knowledge = replica_.has_read_all() ? Knowledge::partial : Knowledge::none;
     }
     LeaseHeartbeat out;
-    out.heartbeat = leases_->next(peer, ctx_.now.steady, self);
+    out.heartbeat = leases_->make_heartbeat(peer, ctx_.now.steady, self);
     if (out.heartbeat.grant == read_leases::Grant::full) {
         out.cancelled = *known;
     }
@@ -124,7 +124,7 @@
 }
 
 double PeerContact::cancellations_known_until_s() const {
-    return leases_->known_until(store_contact_.safe_time_s());
+    return leases_->cancellations_known_until_s(store_contact_.safe_time_s());
 }
 
 }  // namespace cranemoor::core
--- a/src/core/membership/peer_contact.hpp
+++ b/src/core/membership/peer_contact.hpp
@@ -43,7 +43,7 @@
     /// are known here.
     double cancellations_known_until_s() const;
     /// Whether this process has promised a peer to confirm no cancellation to users.
-    bool has_promised_silence() const { return leases_->promised(ctx_.now.steady); }
+    bool has_promised_silence() const { return leases_->has_active_promise(ctx_.now.steady); }
 
   private:
     struct PeerStatus {
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -20,18 +20,18 @@
 
 constexpr auto lease_grants =
     std::to_array<EnumName<read_leases::Grant>>({{"none", read_leases::Grant::none},
-                                                 {"blank", read_leases::Grant::blank},
+                                                 {"blank", read_leases::Grant::process_only},
                                                  {"full", read_leases::Grant::full}});
 
 // --- read leases
 
 Json encode_lease_heartbeat(const LeaseHeartbeat& lease) {
     const auto& heartbeat = lease.heartbeat;
-    Json map = {{"boot", heartbeat.boot},
-                {"beat", heartbeat.beat},
-                {"heard_boot", heartbeat.heard_boot},
-                {"heard_beat", heartbeat.heard_beat},
-                {"wants", heartbeat.wants},
+    Json map = {{"boot", heartbeat.boot_id},
+                {"beat", heartbeat.sequence_number},
+                {"heard_boot", heartbeat.acknowledged_boot_id},
+                {"heard_beat", heartbeat.acknowledged_sequence_number},
+                {"wants", heartbeat.relies_on_leases},
                 {"grant", enum_text(lease_grants, heartbeat.grant)}};
     for (const auto& cancellation : lease.cancelled) {
         map["cancelled"].push_back(
@@ -62,11 +62,11 @@
     Fields fields(map);
     LeaseHeartbeat lease;
     auto& heartbeat = lease.heartbeat;
-    heartbeat.boot = fields.text("boot");
-    heartbeat.beat = fields.count("beat");
-    heartbeat.heard_boot = fields.text("heard_boot", Fields::text_bytes_max, 0);
-    heartbeat.heard_beat = fields.count("heard_beat");
-    heartbeat.wants = fields.flag("wants");
+    heartbeat.boot_id = fields.text("boot");
+    heartbeat.sequence_number = fields.count("beat");
+    heartbeat.acknowledged_boot_id = fields.text("heard_boot", Fields::text_bytes_max, 0);
+    heartbeat.acknowledged_sequence_number = fields.count("heard_beat");
+    heartbeat.relies_on_leases = fields.flag("wants");
     heartbeat.grant = fields.choice("grant", lease_grants);
     if (!fields.ok()) {
         return fields.error();
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -159,7 +159,7 @@
     core::PeerCall relay;
     relay.relayed_heartbeat = wire::decode_heartbeat(report).to_optional();
     core::LeaseHeartbeat& said = relay.lease.emplace();
-    said.heartbeat.boot = said.heartbeat.heard_boot = "b1";
+    said.heartbeat.boot_id = said.heartbeat.acknowledged_boot_id = "b1";
     said.heartbeat.grant = read_leases::Grant::full;
     said.cancelled.push_back({"req-000412", 1.7e9});
     core::WorkerReply reply;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -190,18 +190,19 @@
     ASSERT_TRUE(before);
     EXPECT_FALSE(before->call.lease);
     LeaseHeartbeat& said = call.lease.emplace();
-    said.heartbeat.boot = "b1";
-    said.heartbeat.beat = 7;
-    said.heartbeat.heard_boot = "b2";
-    said.heartbeat.heard_beat = 9;
-    said.heartbeat.wants = true;
+    said.heartbeat.boot_id = "b1";
+    said.heartbeat.sequence_number = 7;
+    said.heartbeat.acknowledged_boot_id = "b2";
+    said.heartbeat.acknowledged_sequence_number = 9;
+    said.heartbeat.relies_on_leases = true;
     said.heartbeat.grant = read_leases::Grant::full;
     said.cancelled.push_back({"req-000412", 1.7e9 + 0.25});
     auto read = decode_peer_call(encode_peer_call("n1", call));
     ASSERT_TRUE(read && read->call.lease);
     const auto& w = read->call.lease->heartbeat;
-    EXPECT_EQ(std::tie(w.boot, w.heard_boot), std::make_tuple("b1", "b2"));
-    EXPECT_EQ(std::tie(w.beat, w.heard_beat, w.wants), std::make_tuple(7U, 9U, true));
+    EXPECT_EQ(std::tie(w.boot_id, w.acknowledged_boot_id), std::make_tuple("b1", "b2"));
+    EXPECT_EQ(std::tie(w.sequence_number, w.acknowledged_sequence_number, w.relies_on_leases),
+              std::make_tuple(7U, 9U, true));
     EXPECT_EQ(w.grant, read_leases::Grant::full);
     ASSERT_EQ(read->call.lease->cancelled.size(), 1U);
     EXPECT_EQ(read->call.lease->cancelled[0].uid, "req-000412");
