--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -7,8 +7,8 @@
 void AdmissionController::enqueue(const FlowName& flow) {
     FlowQueue& queue = queues_[flow];
     if (queue.waiting++ == 0) {
-        // A flow that comes back has no claim on the turns that it did not ask for meanwhile, and
-        // is not rid of those that it had.
+        // A flow that returns gets no credit for turns that it did not use while it was idle, and
+        // the turns that it was given still count.
         queue.start_tag = std::max(queue.start_tag, virtual_time_);
     }
     ++waiting_count_;
@@ -30,10 +30,10 @@
 
 std::optional<FlowName> AdmissionController::next_flow() const {
     std::optional<FlowName> found;
-    std::size_t least = 0;
+    std::size_t start_tag_min = 0;
     for (const auto& [name, queue] : queues_) {
-        if (queue.waiting > 0 && (!found || queue.start_tag < least)) {
-            least = queue.start_tag;
+        if (queue.waiting > 0 && (!found || queue.start_tag < start_tag_min)) {
+            start_tag_min = queue.start_tag;
             found = name;
         }
     }
@@ -42,11 +42,11 @@
 
 std::optional<FlowName> AdmissionController::flow_to_evict(const FlowName& newcomer) const {
     auto own = queues_.find(newcomer);
-    std::size_t most = own == queues_.end() ? 0 : own->second.waiting;
+    std::size_t waiting_max = own == queues_.end() ? 0 : own->second.waiting;
     std::optional<FlowName> found;
     for (const auto& [name, queue] : queues_) {
-        if (queue.waiting > most + 1 || (found && queue.waiting > most)) {
-            most = queue.waiting;
+        if (queue.waiting > waiting_max + 1 || (found && queue.waiting > waiting_max)) {
+            waiting_max = queue.waiting;
             found = name;
         }
     }
--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -1,11 +1,11 @@
-// Admission controller: decides whose submission is written next among the flows that wait, and
-// which flow gives up a place when the queue of submissions is full. A pure policy with no input or
-// output: flows enter and leave, and it names a flow.
-//
-// A flow is one team's class of jobs (`FlowName`). Accepting a job costs the same whoever asks, so
-// all flows that wait get equal shares of the turns, and a flow that stops waiting leaves its share
-// to the others at once. This is start-time fair queueing (Goyal, Vin, Cheng, "Start-time Fair
-// Queueing", SIGCOMM 1996) with equal costs; docs/admission.md gives the reasoning.
+/// Admission controller: decides which of the waiting flows has its submission written next, and
+/// which flow loses a queued submission when the submission queue is full. A pure policy without
+/// I/O.
+///
+/// A flow is one team's class of jobs (`FlowName`). Accepting a job costs the same for every flow,
+/// so all waiting flows get equal shares of the turns, and a flow that stops waiting leaves its
+/// share to the others at once. This is start-time fair queueing (Goyal, Vin, Cheng, "Start-time
+/// Fair Queueing", SIGCOMM 1996) with equal costs; docs/admission.md gives the reasoning.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +22,7 @@
     /// Records one more submission of `flow` as waiting.
     void enqueue(const FlowName& flow);
     /// Records that one waiting submission of `flow` no longer waits. `served`: true if it was the
-    /// flow's turn and the submission was taken, false if its client gave up or it was sent away.
+    /// flow's turn and the submission was taken, false if its client gave up or it was rejected.
     /// Precondition: `flow` has at least one waiting submission.
     void dequeue(const FlowName& flow, bool served);
     /// The flow whose turn it is: among the flows that wait, the one given the fewest turns since
@@ -38,7 +38,7 @@
   private:
     struct FlowQueue {
         std::size_t waiting = 0;
-        // Start tag: turns given, counted from where the others stood when the flow began to wait.
+        // Start tag: the virtual time at which the flow began to wait, plus its turns since.
         std::size_t start_tag = 0;
     };
     // Flows that wait, or whose start tag is ahead of the virtual time.
--- a/src/admission/hysteresis_switch.cpp
+++ b/src/admission/hysteresis_switch.cpp
@@ -5,23 +5,25 @@
 void HysteresisSwitch::set(bool on) {
     if (on != on_) {
         on_ = on;
-        since_ = -1;
+        condition_since_s_ = -1;
     }
 }
 
-bool HysteresisSwitch::look(double now, double wait_s, double demand) {
-    bool turn = on_ ? wait_s < bounds_.off_wait_s && demand < bounds_.off_demand
-                    : wait_s >= bounds_.on_wait_s;
-    if (!turn) {
-        since_ = -1;
+bool HysteresisSwitch::update(double now, double wait_s, double demand_share) {
+    bool condition_holds =
+        on_ ? wait_s < thresholds_.off_wait_s && demand_share < thresholds_.off_demand_share
+            : wait_s >= thresholds_.on_wait_s;
+    if (!condition_holds) {
+        condition_since_s_ = -1;
         return on_;
     }
-    if (since_ < 0) {
-        since_ = now;
+    if (condition_since_s_ < 0) {
+        condition_since_s_ = now;
     }
-    if (now - since_ >= (on_ ? bounds_.off_after_s : bounds_.on_after_s)) {
+    if (now - condition_since_s_ >=
+        (on_ ? thresholds_.off_duration_s : thresholds_.on_duration_s)) {
         on_ = !on_;
-        since_ = -1;
+        condition_since_s_ = -1;
     }
     return on_;
 }
--- a/src/admission/shard_owner.hpp
+++ b/src/admission/shard_owner.hpp
@@ -1,5 +1,6 @@
-// Homes: which member claims from a block of a job while records are shared. A function of what all
-// members know, in whole numbers, so that two members never both take a block for theirs.
+/// Shard owner: which member may claim tasks from a block of a job while claims are batched.
+/// Computed in integers from what all members know, so that no two members ever both take a block
+/// for their own.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +10,9 @@
 
 namespace cranemoor::admission {
 
-// hash: of the block's name, the same on every member. members: id and weight (at least 1), in the
-// same order on every member. Returns the id of one of them, 0 without members.
+/// Returns the id of the member that owns the block, or 0 without members. `hash`: of the block's
+/// name, the same on every member; `members`: id and weight (at least 1), in the same order on
+/// every member.
 std::uint64_t shard_owner(std::uint64_t hash,
                           const std::vector<std::pair<std::uint64_t, int>>& members);
 
--- a/src/core/context/context.cpp
+++ b/src/core/context/context.cpp
@@ -39,7 +39,7 @@
 
 void Context::state(StoreCall call, StoreCalls::Completion done) {
     call.id = ++next_id_;
-    overload.began(call.id, call.txn, now.steady);
+    overload.on_call_sent(call.id, call.txn, now.steady);
     store_calls_.add(call.id, std::move(done));
     out.emplace_back(std::move(call));
 }
@@ -83,7 +83,7 @@
 }
 
 void Context::store_reply(std::uint64_t id, const StoreReply& reply) {
-    overload.ended(id, reply.status, now.steady);
+    overload.on_reply(id, reply.status, now.steady);
     store_calls_.complete(id, reply);
 }
 
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -17,8 +17,8 @@
     const auto& table = ctx_.jobs.admission_table();
     const JobSpec& s = job.spec;
     // The rules of placement of others look at more than one task.
-    return table && table->shared && s.kind == JobKind::array && !s.zone_spread && !s.same_zone &&
-           job.page_size == 0;
+    return table && table->write_overload && s.kind == JobKind::array && !s.zone_spread &&
+           !s.same_zone && job.page_size == 0;
 }
 
 // By zone: a job that is bound to one is its members', if there are any.
@@ -31,7 +31,7 @@
         weighted_members_epoch_ = epoch;
         weighted_members_table_ = table;
         if (ctx_.jobs.epoch() && ctx_.jobs.admission_table()) {
-            const auto& parts = ctx_.jobs.admission_table()->parts;
+            const auto& parts = ctx_.jobs.admission_table()->member_shares;
             for (const auto& m : ctx_.jobs.epoch()->members) {
                 auto part = parts.find(m.id);
                 // One that the table doesn't know yet is new, and has few machines.
@@ -224,8 +224,8 @@
     const auto& epoch = ctx_.jobs.epoch();
     bool own_record = key.compare(0, prefix.size(), prefix) == 0;
     bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
-    bool no_writer_left =
-        own_record ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
+    bool no_writer_left = own_record ? !table || !table->write_overload
+                                     : leading && !epoch->has(std::stoull(key.substr(4)));
     return no_writer_left && !writes_in_flight_.contains(key) && !unknown_outcomes_.contains(key) &&
            count_live_bytes(key) == 0;
 }
--- a/src/core/overload/overload_detector.cpp
+++ b/src/core/overload/overload_detector.cpp
@@ -10,69 +10,75 @@
 namespace cranemoor::core {
 
 namespace {
-constexpr std::array<const char*, static_cast<std::size_t>(Txn::Purpose::count)> names = {
-    "other", "accepted", "cancelled", "claims", "ends", "finals", "marks", "sheets"};
+constexpr std::array<const char*, static_cast<std::size_t>(Txn::Purpose::count)> purpose_names = {
+    "other",      "accepted jobs", "cancellations", "claims",
+    "task exits", "final states",  "release marks", "claim batches"};
 }  // namespace
 
-void OverloadDetector::began(std::uint64_t id, const Txn& txn, double now) {
+void OverloadDetector::on_call_sent(std::uint64_t call_id, const Txn& txn, double now) {
     if (!txn.writes.empty()) {
-        open_[id] = {now, txn.writes.size(), txn.writes_avoided, txn.purpose,
-                     txn.urgency != Urgency::low};
+        in_flight_[call_id] = {now, txn.writes.size(), txn.writes_avoided, txn.purpose,
+                               txn.urgency != Urgency::low};
     }
 }
 
-void OverloadDetector::ended(std::uint64_t id, StoreReply::Status status, double now) {
-    auto it = open_.find(id);
-    if (it == open_.end()) {
+void OverloadDetector::on_reply(std::uint64_t call_id, StoreReply::Status status, double now) {
+    auto it = in_flight_.find(call_id);
+    if (it == in_flight_.end()) {
         return;
     }
-    const Open& o = it->second;
-    if (o.waited_for) {
-        took_s_ += constants::write_wait_smoothing_factor * (now - o.since - took_s_);
+    const InFlightTxn& txn = it->second;
+    if (txn.is_awaited) {
+        average_wait_s_ +=
+            constants::write_wait_smoothing_factor * (now - txn.sent_s - average_wait_s_);
     }
-    written_[static_cast<std::size_t>(o.purpose)] += o.writes;
-    lost_ += status == StoreReply::Status::conflict ? 1 : 0;
-    refused_ += status == StoreReply::Status::refused ? 1 : 0;
-    double passed = std::max(0.0, now - rate_at_);
-    rate_ = rate_ * std::exp(-passed / constants::write_rate_window_s) +
-            static_cast<double>(o.writes + o.writes_avoided) / constants::write_rate_window_s;
-    rate_at_ = now;
-    open_.erase(it);
+    writes_by_purpose_[static_cast<std::size_t>(txn.purpose)] += txn.writes;
+    conflicts_ += status == StoreReply::Status::conflict ? 1 : 0;
+    refusals_ += status == StoreReply::Status::refused ? 1 : 0;
+    double elapsed_s = std::max(0.0, now - rate_updated_s_);
+    writes_per_s_ =
+        writes_per_s_ * std::exp(-elapsed_s / constants::write_rate_window_s) +
+        static_cast<double>(txn.writes + txn.writes_avoided) / constants::write_rate_window_s;
+    rate_updated_s_ = now;
+    in_flight_.erase(it);
 }
 
 double OverloadDetector::write_wait_s(double now) const {
-    double wait = took_s_;
-    for (const auto& [id, o] : open_) {
-        if (o.waited_for) {
-            wait = std::max(wait, now - o.since);
-            break;  // the first one is the oldest
+    double wait = average_wait_s_;
+    for (const auto& [id, txn] : in_flight_) {
+        if (txn.is_awaited) {
+            wait = std::max(wait, now - txn.sent_s);
+            break;  // call ids increase: the first one is the oldest
         }
     }
     return wait;
 }
 
 OverloadSample OverloadDetector::sample(double now) const {
-    double rate = rate_ * std::exp(-std::max(0.0, now - rate_at_) / constants::write_rate_window_s);
-    return {write_wait_s(now), rate};
+    double writes_per_s = writes_per_s_ * std::exp(-std::max(0.0, now - rate_updated_s_) /
+                                                   constants::write_rate_window_s);
+    return {write_wait_s(now), writes_per_s};
 }
 
-std::string OverloadDetector::take_words(double now) {
-    double passed = std::max(1e-3, now - words_at_);
-    std::size_t all = 0;
-    std::string by;
-    for (std::size_t i = 0; i < names.size(); ++i) {
-        all += written_[i];
-        if (written_[i] > 0) {
-            by += fmt::format("{}{} {}", by.empty() ? "" : ", ", names[i], written_[i]);
+std::string OverloadDetector::take_log_summary(double now) {
+    double elapsed_s = std::max(1e-3, now - last_summary_s_);
+    std::size_t writes = 0;
+    std::string by_purpose;
+    for (std::size_t i = 0; i < purpose_names.size(); ++i) {
+        writes += writes_by_purpose_[i];
+        if (writes_by_purpose_[i] > 0) {
+            by_purpose += fmt::format("{}{} {}", by_purpose.empty() ? "" : ", ", purpose_names[i],
+                                      writes_by_purpose_[i]);
         }
     }
-    auto words =
-        fmt::format("{:.1f} writes a second ({}), {:.2f} s waited, {} lost to others, {} refused",
-                    static_cast<double>(all) / passed, by, write_wait_s(now), lost_, refused_);
-    written_ = {};
-    lost_ = refused_ = 0;
-    words_at_ = now;
-    return words;
+    auto summary =
+        fmt::format("{:.1f} writes/s ({}), write wait {:.2f} s, {} conflicts, {} refused",
+                    static_cast<double>(writes) / elapsed_s, by_purpose, write_wait_s(now),
+                    conflicts_, refusals_);
+    writes_by_purpose_ = {};
+    conflicts_ = refusals_ = 0;
+    last_summary_s_ = now;
+    return summary;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -21,7 +21,7 @@
 
 void SubmissionWriter::write_pending() {
     const auto& table = ctx_.jobs.admission_table();
-    bool write_overload = table && table->shared;
+    bool write_overload = table && table->write_overload;
     while (!submission_queue_.empty() &&
            writes_in_flight_ < constants::accept_writes_in_flight_max &&
            (!write_overload || ctx_.now.steady >= next_write_)) {
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -26,7 +26,7 @@
     next_tick_s_ = t + constants::overload_check_interval_s;
     if (t >= next_pressure_log_s_) {
         next_pressure_log_s_ = t + constants::overload_log_interval_s;
-        ctx_.info("pressure: {}", ctx_.overload.take_words(t));
+        ctx_.info("pressure: {}", ctx_.overload.take_log_summary(t));
     }
     if (membership_.is_leader() && membership_.has_store_contact() &&
         ctx_.upgraded(current_feature_level)) {
@@ -47,23 +47,24 @@
     }
     const auto& old = ctx_.jobs.admission_table();
     admission::Table next = old.value_or(admission::Table{});
-    bool was = next.shared;
+    bool was = next.write_overload;
     write_scarcity_.set(was);
-    next.shared = write_scarcity_.look(t, wait, writes / ctx_.settings.store_writes_per_s);
-    if (!next.shared && !was) {
+    next.write_overload =
+        write_scarcity_.update(t, wait, writes / ctx_.settings.store_writes_per_s);
+    if (!next.write_overload && !was) {
         return;
     }
-    if (next.shared == was && t < next_refresh_s_) {
+    if (next.write_overload == was && t < next_refresh_s_) {
         return;
     }
-    next.parts = controller_parts();
-    if (next.shared != was || parts_differ(next.parts)) {
+    next.member_shares = controller_parts();
+    if (next.write_overload != was || parts_differ(next.member_shares)) {
         write_table(std::move(next));
     }
 }
 
 // By the machines that each member owns: what it can place.
-std::map<std::uint64_t, admission::Part> AdmissionTableSync::controller_parts() const {
+std::map<std::uint64_t, admission::MemberShare> AdmissionTableSync::controller_parts() const {
     std::map<std::uint64_t, int> machines;
     for (const auto& m : ctx_.jobs.epoch()->members) {
         machines[m.id] = 0;
@@ -74,7 +75,7 @@
             machines[owner->id]++;
         }
     }
-    std::map<std::uint64_t, admission::Part> parts;
+    std::map<std::uint64_t, admission::MemberShare> parts;
     for (const auto& [id, n] : machines) {
         parts[id] = {std::max(1, n)};
     }
@@ -83,8 +84,8 @@
 
 // Whether the table's parts are so far from what they should be that a write is worth it.
 bool AdmissionTableSync::parts_differ(
-    const std::map<std::uint64_t, admission::Part>& wanted) const {
-    const auto& old = ctx_.jobs.admission_table()->parts;
+    const std::map<std::uint64_t, admission::MemberShare>& wanted) const {
+    const auto& old = ctx_.jobs.admission_table()->member_shares;
     auto sum = [](const auto& all) {
         double s = 0;
         for (const auto& [id, part] : all) {
@@ -115,7 +116,7 @@
     write_in_flight_ = true;
     next_refresh_s_ = ctx_.now.steady + constants::admission_table_write_interval_s;
     ctx_.info("admission table {}: records {}", next.number,
-              next.shared ? "shared, writes are short" : "by block again");
+              next.write_overload ? "shared, writes are short" : "by block again");
     ctx_.txn(std::move(txn), [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { write_in_flight_ = false; });
     });
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -36,8 +36,8 @@
 
     void update_table();
     void write_table(admission::Table next);
-    std::map<std::uint64_t, admission::Part> controller_parts() const;
-    bool parts_differ(const std::map<std::uint64_t, admission::Part>& wanted) const;
+    std::map<std::uint64_t, admission::MemberShare> controller_parts() const;
+    bool parts_differ(const std::map<std::uint64_t, admission::MemberShare>& wanted) const;
 
     Context& ctx_;
     const Membership& membership_;
--- a/src/core/store/record_codec.cpp
+++ b/src/core/store/record_codec.cpp
@@ -253,19 +253,19 @@
 
 Json encode(const admission::Table& table) {
     Json parts = Json::object();
-    for (const auto& [id, part] : table.parts) {
+    for (const auto& [id, part] : table.member_shares) {
         parts[std::to_string(id)] = {{"weight", part.weight}};
     }
-    return {{"number", table.number}, {"shared", table.shared}, {"parts", parts}};
+    return {{"number", table.number}, {"shared", table.write_overload}, {"parts", parts}};
 }
 
 admission::Table decode_table(const Json& value, Revision revision) {
     admission::Table table;
     table.revision = revision;
     table.number = value.at("number").get<std::uint64_t>();
-    table.shared = value.at("shared").get<bool>();
+    table.write_overload = value.at("shared").get<bool>();
     for (const auto& [id, part] : value.at("parts").items()) {
-        table.parts[std::stoull(id)] = {part.at("weight").get<int>()};
+        table.member_shares[std::stoull(id)] = {part.at("weight").get<int>()};
     }
     return table;
 }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -11,14 +11,14 @@
 
 TEST(HysteresisSwitch, TurnsOnSoonAndOffLate) {
     HysteresisSwitch valve({0.4, 1.0, 0.2, 0.6, 15.0});
-    EXPECT_FALSE(valve.look(0, 0.5, 1.0));
-    EXPECT_FALSE(valve.look(0.5, 0.3, 1.0));  // a moment's relief
-    EXPECT_FALSE(valve.look(1.0, 0.5, 1.0));
-    EXPECT_TRUE(valve.look(2.0, 0.5, 1.0));
-    EXPECT_TRUE(valve.look(3.0, 0.0, 0.9));  // little waits, but only since much is shared
-    EXPECT_TRUE(valve.look(17.0, 0.0, 0.5));
-    EXPECT_TRUE(valve.look(31.0, 0.0, 0.5));
-    EXPECT_FALSE(valve.look(32.0, 0.0, 0.5));
+    EXPECT_FALSE(valve.update(0, 0.5, 1.0));
+    EXPECT_FALSE(valve.update(0.5, 0.3, 1.0));  // a moment's relief
+    EXPECT_FALSE(valve.update(1.0, 0.5, 1.0));
+    EXPECT_TRUE(valve.update(2.0, 0.5, 1.0));
+    EXPECT_TRUE(valve.update(3.0, 0.0, 0.9));  // little waits, but only since much is shared
+    EXPECT_TRUE(valve.update(17.0, 0.0, 0.5));
+    EXPECT_TRUE(valve.update(31.0, 0.0, 0.5));
+    EXPECT_FALSE(valve.update(32.0, 0.0, 0.5));
 }
 
 TEST(Homes, EachBlockHasOneMemberByWeight) {
