--- a/src/core/jobs/block_limits.cpp
+++ b/src/core/jobs/block_limits.cpp
@@ -24,7 +24,7 @@
     return std::max(2, std::min(constants::block_tasks_max, fits) / 2 * 2);
 }
 
-int max_gang_tasks(const Context& ctx) {
+int gang_tasks_max(const Context& ctx) {
     // Its blocks and its team's slices are one transaction.
     int blocks = static_cast<int>(ctx.ops_max()) - 1;
     auto room = static_cast<std::size_t>(constants::txn_bytes_max * constants::value_limit_share);
--- a/src/core/jobs/block_limits.hpp
+++ b/src/core/jobs/block_limits.hpp
@@ -10,6 +10,6 @@
 /// block add up.
 int tasks_per_block(const Context& ctx);
 /// Tasks of the largest gang that one transaction can claim: a larger one can never start whole.
-int max_gang_tasks(const Context& ctx);
+int gang_tasks_max(const Context& ctx);
 
 }  // namespace cranemoor::core
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -9,193 +9,198 @@
 
 void Dependencies::records_changed(const std::set<std::string>& touched) {
     for (const auto& uid : touched) {
-        note(uid);
-        auto followers = needed_by_.find(uid);
-        if (followers != needed_by_.end()) {
-            refresh_priority(uid);  // its own record may have come after theirs
-            if (end_of(uid).value_or(End::open) != End::open) {
-                look_.insert(followers->second.begin(), followers->second.end());
+        update_dependencies(uid);
+        auto dependents = dependents_of_.find(uid);
+        if (dependents != dependents_of_.end()) {
+            refresh_priority(uid);  // its own record may have arrived after theirs
+            if (recorded_outcome(uid).value_or(Outcome::open) != Outcome::open) {
+                jobs_to_check_.insert(dependents->second.begin(), dependents->second.end());
             }
         }
     }
     tick();
 }
 
-// Keeps what a job waits for up to date. It costs as much as the job has followed ones, and only
-// when it is accepted and when it stops waiting.
-void Dependencies::note(const std::string& uid) {
+// Updates the dependency graph for a job. The cost is linear in the number of its dependencies, and
+// arises only when it is accepted and when it stops waiting.
+void Dependencies::update_dependencies(const std::string& uid) {
     const Job* job = ctx_.jobs.find(uid);
     bool waits = job != nullptr && job->waiting && !job->cancelled;
     if (waits && job->dependency_part_count > 0) {
         auto parts = ctx_.jobs.dependency_parts().find(uid);
         waits = parts != ctx_.jobs.dependency_parts().end();
-        for (int n = 0; n < job->dependency_part_count && waits; ++n) {
-            waits = parts->second.contains(n);
+        for (int number = 0; number < job->dependency_part_count && waits; ++number) {
+            waits = parts->second.contains(number);
         }
     }
-    auto known = waiting_.find(uid);
-    if (waits && known == waiting_.end()) {
-        auto& all = waiting_[uid];
-        all.insert(job->spec.depends_on.begin(), job->spec.depends_on.end());
-        for (const auto& other : all) {
-            needed_by_[other].insert(uid);
-            refresh_priority(other);
+    auto entry = dependencies_of_.find(uid);
+    if (waits && entry == dependencies_of_.end()) {
+        auto& dependencies = dependencies_of_[uid];
+        dependencies.insert(job->spec.depends_on.begin(), job->spec.depends_on.end());
+        for (const auto& dependency : dependencies) {
+            dependents_of_[dependency].insert(uid);
+            refresh_priority(dependency);
         }
-        look_.insert(uid);
-    } else if (!waits && known != waiting_.end()) {
-        auto all = std::move(known->second);
-        waiting_.erase(known);
-        look_.erase(uid);
-        for (const auto& other : all) {
-            auto followers = needed_by_.find(other);
-            followers->second.erase(uid);
-            if (followers->second.empty()) {
-                needed_by_.erase(followers);
+        jobs_to_check_.insert(uid);
+    } else if (!waits && entry != dependencies_of_.end()) {
+        auto dependencies = std::move(entry->second);
+        dependencies_of_.erase(entry);
+        jobs_to_check_.erase(uid);
+        for (const auto& dependency : dependencies) {
+            auto dependents = dependents_of_.find(dependency);
+            dependents->second.erase(uid);
+            if (dependents->second.empty()) {
+                dependents_of_.erase(dependents);
             }
-            refresh_priority(other);
+            refresh_priority(dependency);
         }
     }
 }
 
-// A job is treated as having the highest priority of those that need it, directly or through
-// others. They can't form a ring: each names only jobs that were accepted before it.
+// A job inherits the highest priority of its direct and transitive dependents. The graph has no
+// cycles: each job names only jobs that were accepted before it.
 void Dependencies::refresh_priority(const std::string& uid) {
-    std::deque<std::string> todo = {uid};
-    while (!todo.empty()) {
-        auto next = std::move(todo.front());
-        todo.pop_front();
+    std::deque<std::string> queue = {uid};
+    while (!queue.empty()) {
+        auto next = std::move(queue.front());
+        queue.pop_front();
         const Job* job = ctx_.jobs.find(next);
         if (job == nullptr) {
             continue;
         }
-        Priority most = job->submitted_priority;
-        if (auto followers = needed_by_.find(next); followers != needed_by_.end()) {
-            for (const auto& f : followers->second) {
-                if (const Job* follower = ctx_.jobs.find(f)) {
-                    most = std::max(most, follower->spec.priority);
+        Priority highest = job->submitted_priority;
+        if (auto dependents = dependents_of_.find(next); dependents != dependents_of_.end()) {
+            for (const auto& dependent : dependents->second) {
+                if (const Job* dependent_job = ctx_.jobs.find(dependent)) {
+                    highest = std::max(highest, dependent_job->spec.priority);
                 }
             }
         }
-        if (most == job->spec.priority) {
+        if (highest == job->spec.priority) {
             continue;
         }
-        ctx_.jobs.set_inherited_priority(next, most);
-        if (auto all = waiting_.find(next); all != waiting_.end()) {
-            todo.insert(todo.end(), all->second.begin(), all->second.end());
+        ctx_.jobs.set_inherited_priority(next, highest);
+        if (auto dependencies = dependencies_of_.find(next);
+            dependencies != dependencies_of_.end()) {
+            queue.insert(queue.end(), dependencies->second.begin(), dependencies->second.end());
         }
     }
 }
 
-// How a job ended, as the records say: none if they are not here any more and not read yet.
-std::optional<Dependencies::End> Dependencies::end_of(const std::string& uid) const {
-    if (const Finished* f = ctx_.jobs.final_state(uid)) {
-        return f->cancelled ? End::cancelled : End::done;
+// The outcome of a job by its records, or empty if the replica no longer has them and its archived
+// final state has not been read yet.
+std::optional<Dependencies::Outcome> Dependencies::recorded_outcome(const std::string& uid) const {
+    if (const Finished* final_state = ctx_.jobs.final_state(uid)) {
+        return final_state->cancelled ? Outcome::cancelled : Outcome::done;
     }
     if (const Job* job = ctx_.jobs.find(uid)) {
-        return job->cancelled ? End::cancelled : End::open;
+        return job->cancelled ? Outcome::cancelled : Outcome::open;
     }
-    auto it = moved_.find(uid);
-    return it == moved_.end() ? std::nullopt : std::optional(it->second);
+    auto it = archived_outcomes_.find(uid);
+    return it == archived_outcomes_.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::optional<Dependencies::End> Dependencies::verdict(const std::string& uid) const {
-    std::set<std::string> seen = {uid};
-    std::deque<std::string> todo = {uid};
-    bool known = true;
-    while (!todo.empty()) {
-        auto end = end_of(todo.front());
-        if (end == End::cancelled) {
-            return End::cancelled;
+std::optional<Dependencies::Outcome> Dependencies::effective_outcome(const std::string& uid) const {
+    std::set<std::string> visited = {uid};
+    std::deque<std::string> queue = {uid};
+    bool all_known = true;
+    while (!queue.empty()) {
+        auto outcome = recorded_outcome(queue.front());
+        if (outcome == Outcome::cancelled) {
+            return Outcome::cancelled;
         }
-        known = known && end.has_value();
-        auto all = waiting_.find(todo.front());
-        todo.pop_front();
-        if (all != waiting_.end()) {
-            for (const auto& other : all->second) {
-                if (seen.insert(other).second) {
-                    todo.push_back(other);
+        all_known = all_known && outcome.has_value();
+        auto dependencies = dependencies_of_.find(queue.front());
+        queue.pop_front();
+        if (dependencies != dependencies_of_.end()) {
+            for (const auto& dependency : dependencies->second) {
+                if (visited.insert(dependency).second) {
+                    queue.push_back(dependency);
                 }
             }
         }
     }
-    return known ? end_of(uid) : std::nullopt;
+    return all_known ? recorded_outcome(uid) : std::nullopt;
 }
 
-// Exactly one member writes: the oldest that understands dependent jobs. While there is a member
-// of the version before, it may be the leading one.
-bool Dependencies::acting() const {
+// Exactly one member writes: the oldest that understands dependent jobs. This need not be the
+// leader, which may still run the previous version.
+bool Dependencies::is_responsible() const {
     const auto& epoch = ctx_.jobs.epoch();
     if (!ctx_.is_member || !epoch || !membership_.has_store_contact()) {
         return false;
     }
-    for (const auto& m : epoch->members) {
-        if (ctx_.jobs.feature_level(m.name) >= FeatureLevel::dependencies) {
-            return m.id == ctx_.self.id;
+    for (const auto& member : epoch->members) {
+        if (ctx_.jobs.feature_level(member.name) >= FeatureLevel::dependencies) {
+            return member.id == ctx_.self.id;
         }
     }
     return false;
 }
 
 void Dependencies::tick() {
-    if (!acting()) {
+    if (!is_responsible()) {
         return;
     }
-    if (ctx_.now.steady >= next_look_) {
-        next_look_ = ctx_.now.steady + constants::dependency_check_interval_s;
-        if (waiting_.empty()) {
-            moved_.clear();
+    if (ctx_.now.steady >= next_check_s_) {
+        next_check_s_ = ctx_.now.steady + constants::dependency_check_interval_s;
+        if (dependencies_of_.empty()) {
+            archived_outcomes_.clear();
         }
-        for (const auto& [uid, all] : waiting_) {
-            look_.insert(uid);
+        for (const auto& [uid, dependencies] : dependencies_of_) {
+            jobs_to_check_.insert(uid);
         }
-        remove_stray_parts();
+        delete_orphaned_parts();
     }
-    for (const auto& uid : std::exchange(look_, {})) {
-        look(uid);
+    for (const auto& uid : std::exchange(jobs_to_check_, {})) {
+        check_waiting_job(uid);
     }
 }
 
-void Dependencies::look(const std::string& uid) {
-    auto it = waiting_.find(uid);
+void Dependencies::check_waiting_job(const std::string& uid) {
+    auto it = dependencies_of_.find(uid);
     const Job* job = ctx_.jobs.find(uid);
-    if (it == waiting_.end() || job == nullptr || writing_.contains(uid)) {
+    if (it == dependencies_of_.end() || job == nullptr || writes_in_flight_.contains(uid)) {
         return;
     }
     bool ready = true;
-    for (const auto& other : it->second) {
-        auto end = end_of(other);
-        if (end == End::cancelled) {
-            cancel_with(needing(other));
+    for (const auto& dependency : it->second) {
+        auto outcome = recorded_outcome(dependency);
+        if (outcome == Outcome::cancelled) {
+            cancel_dependents(transitive_dependents(dependency));
             return;
         }
-        ready = ready && end == End::done;
-        if (end || reading_.contains(other) || !look_ups_.can_take(ctx_.now.steady, 1)) {
+        ready = ready && outcome == Outcome::done;
+        if (outcome || reads_in_flight_.contains(dependency) ||
+            !read_limiter_.can_take(ctx_.now.steady, 1)) {
             continue;
         }
-        // Over so long that its final state was moved away; it was accepted, or nobody could have
-        // followed it.
-        look_ups_.take(1);
-        reading_.insert(other);
+        // Not in the replica, so its final state has been archived: it must have been accepted,
+        // since no job is accepted that depends on an unknown one.
+        read_limiter_.take(1);
+        reads_in_flight_.insert(dependency);
         StoreCall call;
         call.kind = StoreCall::Kind::get;
-        call.key = keys::final_state(other);
-        ctx_.state(call, [this, other, uid](const StoreReply& r) {
-            reading_.erase(other);
-            if (r.status == StoreReply::Status::ok) {
-                moved_[other] = decode_finished(r.value).cancelled ? End::cancelled : End::done;
-                look_.insert(uid);
+        call.key = keys::final_state(dependency);
+        ctx_.state(call, [this, dependency, uid](const StoreReply& reply) {
+            reads_in_flight_.erase(dependency);
+            if (reply.status == StoreReply::Status::ok) {
+                archived_outcomes_[dependency] =
+                    decode_finished(reply.value).cancelled ? Outcome::cancelled : Outcome::done;
+                jobs_to_check_.insert(uid);
                 tick();
             }
         });
     }
     if (ready) {
-        release(*job);
+        mark_ready(*job);
     }
 }
 
-// The job may run from here on: written down, so that every claim is conditional on it, nobody
-// has to look at the followed jobs again, and the version before may place it as any other.
-void Dependencies::release(const Job& job) {
+// The job may run from here on. This is written to its record, so that every claim is conditional
+// on it, no controller has to check the dependencies again, and the previous version may place it
+// as any other job.
+void Dependencies::mark_ready(const Job& job) {
     const auto& uid = job.spec.uid;
     JobRecord record = job.record();
     record.waiting = false;
@@ -206,64 +211,66 @@
     txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     txn.writes = {{keys::job(uid), encode(record)}};
-    writing_.insert(uid);
-    ctx_.info("job {}: all that it follows is done", uid);
-    ctx_.txn(std::move(txn), [this, uid](const StoreReply& r) {
-        ctx_.when_settled(r, [this, uid] { writing_.erase(uid); });
+    writes_in_flight_.insert(uid);
+    ctx_.info("job {}: all of its dependencies are done", uid);
+    ctx_.txn(std::move(txn), [this, uid](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this, uid] { writes_in_flight_.erase(uid); });
     });
 }
 
-// All jobs that need that one, directly or through others.
-std::vector<std::string> Dependencies::needing(const std::string& uid) const {
-    std::vector<std::string> all;
-    std::set<std::string> seen = {uid};
-    std::deque<std::string> todo = {uid};
-    while (!todo.empty()) {
-        auto followers = needed_by_.find(todo.front());
-        todo.pop_front();
-        if (followers == needed_by_.end()) {
+// All direct and transitive dependents of a job.
+std::vector<std::string> Dependencies::transitive_dependents(const std::string& uid) const {
+    std::vector<std::string> result;
+    std::set<std::string> visited = {uid};
+    std::deque<std::string> queue = {uid};
+    while (!queue.empty()) {
+        auto dependents = dependents_of_.find(queue.front());
+        queue.pop_front();
+        if (dependents == dependents_of_.end()) {
             continue;
         }
-        for (const auto& f : followers->second) {
-            if (seen.insert(f).second) {
-                all.push_back(f);
-                todo.push_back(f);
+        for (const auto& dependent : dependents->second) {
+            if (visited.insert(dependent).second) {
+                result.push_back(dependent);
+                queue.push_back(dependent);
             }
         }
     }
-    return all;
+    return result;
 }
 
-// They have never run, so that their final state can be written at once, several in a write. What
-// a crash leaves out, the next member finds in the same records.
-void Dependencies::cancel_with(const std::vector<std::string>& uids) {
+// These jobs have never run, so their final states can be written at once, several in one
+// transaction. The member that takes over after a crash finds the remaining ones in the same
+// records.
+void Dependencies::cancel_dependents(const std::vector<std::string>& uids) {
     Txn txn;
     txn.urgency = Urgency::high;
-    std::vector<std::string> names;
+    std::vector<std::string> batch_uids;
     auto send = [&] {
-        if (names.empty()) {
+        if (batch_uids.empty()) {
             return;
         }
         txn.conditions.push_back(ctx_.epoch_condition());
         ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
-                 [this, names](const StoreReply& r) {
-                     ctx_.when_settled(r, [this, names] {
-                         for (const auto& uid : names) {
-                             writing_.erase(uid);
+                 [this, batch_uids](const StoreReply& reply) {
+                     ctx_.when_settled(reply, [this, batch_uids] {
+                         for (const auto& uid : batch_uids) {
+                             writes_in_flight_.erase(uid);
                          }
                      });
                  });
-        names.clear();
+        batch_uids.clear();
     };
     for (const auto& uid : uids) {
         const Job* job = ctx_.jobs.find(uid);
-        if (job == nullptr || !job->waiting || !writing_.insert(uid).second) {
+        if (job == nullptr || !job->waiting || !writes_in_flight_.insert(uid).second) {
             continue;
         }
-        ctx_.info("job {}: cancelled, since one that it needs is", uid);
-        names.push_back(uid);
+        ctx_.info("job {}: cancelled, because a job that it depends on is cancelled", uid);
+        batch_uids.push_back(uid);
         add_final_state_writes(ctx_, *job, true, txn);
-        // The next one brings a write and three conditions, and the epoch's comes at last.
+        // The next job adds at least one write and three conditions, and the epoch condition is
+        // added last.
         if (txn.writes.size() >= ctx_.ops_max() ||
             txn.conditions.size() + 4 > ctx_.conditions_max()) {
             send();
@@ -272,23 +279,23 @@
     send();
 }
 
-// Lists that were written for a job which was then not accepted, or is over or released.
-void Dependencies::remove_stray_parts() {
+// Deletes dependency lists of jobs that were not accepted, have ended or no longer wait.
+void Dependencies::delete_orphaned_parts() {
     Txn txn;
     txn.conditions.push_back(ctx_.epoch_condition());
-    std::erase_if(strays_,
+    std::erase_if(orphaned_since_s_,
                   [&](const auto& s) { return ctx_.jobs.dependency_parts().count(s.first) == 0; });
     for (const auto& [uid, parts] : ctx_.jobs.dependency_parts()) {
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && job->waiting && job->dependency_part_count > 0) {
-            strays_.erase(uid);
+            orphaned_since_s_.erase(uid);
             continue;
         }
-        double since = strays_.try_emplace(uid, ctx_.now.steady).first->second;
+        double since = orphaned_since_s_.try_emplace(uid, ctx_.now.steady).first->second;
         if (ctx_.now.steady - since < constants::orphaned_dependency_parts_ttl_s) {
             continue;
         }
-        // The last one goes first: an acceptance that comes late is conditional on it.
+        // The last part is deleted first: a late write that accepts the job is conditional on it.
         auto part = parts.end();
         while (part != parts.begin() && txn.writes.size() < ctx_.ops_max()) {
             --part;
--- a/src/core/jobs/dependencies.hpp
+++ b/src/core/jobs/dependencies.hpp
@@ -1,5 +1,6 @@
-// Dependencies: jobs that wait for others. Says when such a job may run, hands a cancellation on to
-// all that need the cancelled job, and lends the priority of those that wait to what they wait for.
+/// Dependencies: the graph of jobs that wait for others. Decides when such a job may run,
+/// propagates a cancellation to all dependents of the cancelled job, and lets a job inherit the
+/// priority of its dependents.
 #pragma once
 
 #include <map>
@@ -15,46 +16,55 @@
 
 namespace cranemoor::core {
 
+/// Tracks the dependencies of waiting jobs in the replica. All controllers track them; one member
+/// at a time writes what follows from them.
 class Dependencies {
   public:
-    enum class End { open, done, cancelled };
+    /// Outcome of a job; `open`: it has neither ended nor been cancelled.
+    enum class Outcome { open, done, cancelled };
 
+    /// Reads the replica and sends reads and writes through `ctx`; both must outlive this.
     Dependencies(Context& ctx, const Membership& membership)
         : ctx_(ctx),
           membership_(membership),
-          look_ups_(ctx.settings.store_requests_per_s * constants::final_state_read_share,
-                    ctx.settings.store_requests_per_s * constants::final_state_read_share) {}
+          read_limiter_(ctx.settings.store_requests_per_s * constants::final_state_read_share,
+                        ctx.settings.store_requests_per_s * constants::final_state_read_share) {}
 
-    // touched: jobs that changed
+    /// Updates the graph after the records of these jobs changed (`touched`: their uids).
     void records_changed(const std::set<std::string>& touched);
+    /// Checks the jobs that may be ready or cancelled, and all waiting ones from time to time.
     void tick();
-    // How a job stands, from what the records say of it and of all that it needs; none while that
-    // is not known.
-    std::optional<End> verdict(const std::string& uid) const;
+    /// The outcome of a job by its records and those of all its direct and transitive dependencies:
+    /// cancelled if any of them is. Empty while that is not known.
+    std::optional<Outcome> effective_outcome(const std::string& uid) const;
 
   private:
-    void note(const std::string& uid);
+    void update_dependencies(const std::string& uid);
     void refresh_priority(const std::string& uid);
-    std::optional<End> end_of(const std::string& uid) const;
-    void look(const std::string& uid);
-    void release(const Job& job);
-    void cancel_with(const std::vector<std::string>& uids);
-    std::vector<std::string> needing(const std::string& uid) const;
-    bool acting() const;
-    void remove_stray_parts();
+    std::optional<Outcome> recorded_outcome(const std::string& uid) const;
+    void check_waiting_job(const std::string& uid);
+    void mark_ready(const Job& job);
+    void cancel_dependents(const std::vector<std::string>& uids);
+    std::vector<std::string> transitive_dependents(const std::string& uid) const;
+    bool is_responsible() const;
+    void delete_orphaned_parts();
 
     Context& ctx_;
     const Membership& membership_;
-    std::map<std::string, std::set<std::string>> waiting_;  // job, and what it still waits for
-    std::map<std::string, std::set<std::string>> needed_by_;
-    std::set<std::string> look_;     // jobs that wait and may be ready, or cancelled with another
-    std::set<std::string> writing_;  // a write of ours for them is under way
-    std::unordered_map<std::string, End> moved_;  // ends that are in no memory, as they were read
-    std::set<std::string> reading_;
-    std::map<std::string, double>
-        strays_;  // jobs nobody accepted whose parts are there: since when
-    TokenBucket look_ups_;
-    double next_look_ = 0;
+    // Of waiting jobs: the jobs that each depends on.
+    std::map<std::string, std::set<std::string>> dependencies_of_;
+    // The waiting jobs that depend on each job.
+    std::map<std::string, std::set<std::string>> dependents_of_;
+    // Waiting jobs that may be ready or have a cancelled dependency.
+    std::set<std::string> jobs_to_check_;
+    std::set<std::string> writes_in_flight_;  // uids of jobs with a write of ours in flight
+    // Outcomes read from archived final states, of jobs that are not in the replica.
+    std::unordered_map<std::string, Outcome> archived_outcomes_;
+    std::set<std::string> reads_in_flight_;  // uids of jobs whose final state is being read
+    // Uids with parts of a dependency list but no waiting job: steady time since when.
+    std::map<std::string, double> orphaned_since_s_;
+    TokenBucket read_limiter_;
+    double next_check_s_ = 0;  // steady time of the next check of all waiting jobs
 };
 
 }  // namespace cranemoor::core
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -4,9 +4,8 @@
 
 namespace cranemoor::core {
 
-// Adds a job's final state to a transaction, and the removal of its other blocks as far as there
-// is room for it; returns their keys. The final state takes the place of the first block: one write
-// for a job of one block, and every copy knows it without a read.
+// The final state replaces the first block record, so that a job of one block needs one write and
+// every replica learns the final state from the watch, without a read.
 std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
                                                 Txn& txn) {
     const auto& uid = job.spec.uid;
@@ -14,64 +13,65 @@
         txn.conditions.push_back(std::move(condition));
     }
     const Block& first = job.first_block_record();
-    Block last;
-    last.attempt = first.attempt;
-    last.cancelled_wall = first.cancelled_wall;
-    last.final = Finished{cancelled, job.spec.tasks};
-    std::vector<std::string> changed = {keys::block(uid, 0)};
-    txn.conditions.push_back({changed.front(), first.revision});
-    txn.writes.push_back({changed.front(), encode(last)});
+    Block final_record;
+    final_record.attempt = first.attempt;
+    final_record.cancelled_wall = first.cancelled_wall;
+    final_record.final = Finished{cancelled, job.spec.tasks};
+    std::vector<std::string> changed_keys = {keys::block(uid, 0)};
+    txn.conditions.push_back({changed_keys.front(), first.revision});
+    txn.writes.push_back({changed_keys.front(), encode(final_record)});
     for (const auto& [key, revision] : job.other_block_records()) {
         if (txn.writes.size() < ctx.ops_max()) {
-            changed.push_back(key);
+            changed_keys.push_back(key);
             txn.conditions.push_back({key, revision});
             txn.writes.push_back({key, std::nullopt});
         }
     }
-    return changed;
+    return changed_keys;
 }
 
-// Ends the jobs that are over: by their final state, and by removing blocks that outlived them.
-// Leader only.
+// Writes the final state of ended jobs, and deletes block records that remain after it. Leader
+// only.
 void JobCompletion::complete_finished_jobs() {
     for (const auto& uid : ctx_.jobs.jobs_to_finalize()) {
         if (completions_in_flight_.contains(uid)) {
             continue;
         }
         const Job& job = ctx_.jobs.jobs().at(uid);
-        bool busy = std::any_of(job.blocks.begin(), job.blocks.end(), [&](const auto& b) {
-            return ctx_.blocks_in_flight.count(job.block_key(b.first)) != 0;
-        });
-        if (busy) {
+        bool write_in_flight =
+            std::any_of(job.blocks.begin(), job.blocks.end(), [&](const auto& block) {
+                return ctx_.blocks_in_flight.count(job.block_key(block.first)) != 0;
+            });
+        if (write_in_flight) {
             continue;
         }
         Txn txn;
         txn.purpose = Txn::Purpose::final;
         txn.conditions.push_back(ctx_.epoch_condition());
         if (job.revision != 0 && !job.final) {
-            // A cancellation stands even if the last task was done before it could be stopped:
-            // its user has been told.
+            // A cancellation holds even if the last task was done before it could be stopped: it
+            // has been acknowledged to its user.
             add_final_state_writes(ctx_, job, job.cancelled, txn);
         } else {
-            auto left = job.other_block_records();
+            auto leftover = job.other_block_records();
             if (!job.final && job.first_block_record().revision != 0) {
-                left.push_back({keys::block(uid, 0), job.first_block_record().revision});
+                leftover.push_back({keys::block(uid, 0), job.first_block_record().revision});
             }
-            for (const auto& [key, at] : left) {
+            for (const auto& [key, revision] : leftover) {
                 if (txn.writes.size() < ctx_.ops_max()) {
-                    txn.conditions.push_back({key, at});
+                    txn.conditions.push_back({key, revision});
                     txn.writes.push_back({key, std::nullopt});
                 }
             }
         }
         completions_in_flight_.insert(uid);
-        ctx_.txn(txn, [this, uid = uid](const StoreReply& r) {
-            ctx_.when_settled(r, [this, uid] { completions_in_flight_.erase(uid); });
+        ctx_.txn(txn, [this, uid = uid](const StoreReply& reply) {
+            ctx_.when_settled(reply, [this, uid] { completions_in_flight_.erase(uid); });
         });
     }
 }
 
-// Takes a job into the batch if all that is to be written for it fits one transaction.
+// Adds a job to the batch if all writes that it needs fit into the transaction.
 void JobCompletion::add_to_archive(const std::string& uid, ArchiveBatch& batch) const {
     const Job& job = ctx_.jobs.jobs().at(uid);
     if (!job.final || !job.other_block_records().empty() || batch.jobs.contains(uid)) {
@@ -98,7 +98,8 @@
     batch.jobs.insert(uid);
 }
 
-// All of one record at once, so that it is written once: the oldest job says which.
+// Takes the oldest job that fits, and the other jobs of the records that list it, so that each of
+// these records is written once.
 JobCompletion::ArchiveBatch JobCompletion::collect_archive_batch() const {
     ArchiveBatch batch;
     for (const auto& [revision, uid] : ctx_.jobs.final_states()) {
@@ -141,11 +142,11 @@
 }
 
 // Final states stay among the watched records, where every controller has them in memory, until
-// there are many; then the oldest are moved to keys of their own, which are read when somebody
-// asks. That costs two writes a job, at a time that is not the rush in which it ended.
+// there are many; then the oldest are moved to keys of their own, which are read on request. That
+// costs two writes per job, later than the peak of writes in which the job ended.
 void JobCompletion::archive_oldest_final_states() {
-    auto keep = static_cast<std::size_t>(ctx_.tunables.final_states_max);
-    if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
+    auto kept_max = static_cast<std::size_t>(ctx_.tunables.final_states_max);
+    if (archive_in_flight_ || ctx_.jobs.final_states().size() <= kept_max ||
         !membership_.has_store_contact() || ctx_.now.steady < next_archive_s_) {
         return;
     }
@@ -167,15 +168,16 @@
     });
 }
 
-// A record that lists more jobs than can be put again is removed whole, once all of them are over:
-// their final states stand in their blocks, as long as they are not moved away one by one.
+// A record that lists more jobs than fit under the value limit can't be written again, so it is
+// deleted as a whole, once all its jobs have ended: their final states are in their block records,
+// as long as these are not archived one by one.
 void JobCompletion::delete_outgrown_listings(const std::set<std::string>& keys, Txn& txn) const {
     for (const auto& key : keys) {
         const auto& listing = ctx_.jobs.listings().at(key);
-        bool over = std::all_of(listing.begin(), listing.end(), [&](const auto& uid) {
+        bool all_ended = std::all_of(listing.begin(), listing.end(), [&](const auto& uid) {
             return ctx_.jobs.final_state(uid) != nullptr;
         });
-        if (over && txn.writes.size() < ctx_.ops_max()) {
+        if (all_ended && txn.writes.size() < ctx_.ops_max()) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -1,6 +1,6 @@
-// Job completion: the leader writes the final state of jobs whose tasks are all over, deletes the
-// block records that outlived them, and later moves the oldest final states out of the watched
-// records (into `keys::final_state`) so that every controller's replica stays small.
+/// Job completion: the leader writes the final state of jobs whose tasks have all ended, deletes
+/// their remaining block records, and later moves the oldest final states out of the watched
+/// records (into `keys::final_state`) so that every controller's replica stays small.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
 std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
                                                 Txn& txn);
 
-/// Ends jobs that are over and archives their final states. Acts only on the leader.
+/// Writes and archives the final states of ended jobs. Acts only on the leader.
 class JobCompletion {
   public:
     /// Reads the replica through `ctx`, and asks `membership` whether this controller leads.
@@ -35,9 +35,9 @@
     // Final states that one transaction moves out of the watched records.
     struct ArchiveBatch {
         std::set<std::string> jobs;                  // uids
-        std::map<std::string, JobListing> listings;  // what is left of the records that list them
-        std::set<std::string> outgrown;  // records that can't be put again with less in them
-        std::size_t writes = 0;          // of the jobs, without the listings
+        std::map<std::string, JobListing> listings;  // the rest of the records that list them
+        std::set<std::string> outgrown;  // listing records too large to be written again
+        std::size_t writes = 0;          // for the jobs, without the listings
     };
 
     void complete_finished_jobs();
@@ -49,9 +49,9 @@
 
     Context& ctx_;
     const Membership& membership_;
-    std::set<std::string> completions_in_flight_;  // job uids with a final-state write under way
-    bool archive_in_flight_ = false;  // a move of final states to keys of their own is under way
-    double next_archive_s_ = 0;       // steady time before which no archive pass starts
+    std::set<std::string> completions_in_flight_;  // job uids with a final-state write in flight
+    bool archive_in_flight_ = false;               // an archive transaction is in flight
+    double next_archive_s_ = 0;  // steady time before which no archive pass starts
 };
 
 }  // namespace cranemoor::core
--- a/src/core/requests/status_query.cpp
+++ b/src/core/requests/status_query.cpp
@@ -37,12 +37,12 @@
     if (job.waiting && !cancelled) {
         // Guards against an answer that is older than the cancellation of a job that it needs,
         // which may still have to be handed on.
-        auto verdict = dependencies_.verdict(job.spec.uid);
-        if (!verdict) {
+        auto effective_outcome = dependencies_.effective_outcome(job.spec.uid);
+        if (!effective_outcome) {
             open_requests_.reject_unavailable(request, job.spec.uid);
             return;
         }
-        cancelled = verdict == Dependencies::End::cancelled;
+        cancelled = effective_outcome == Dependencies::Outcome::cancelled;
     }
     if (cancelled && !membership_.may_confirm_cancellations()) {
         open_requests_.reject_unavailable(request, job.spec.uid);
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -134,7 +134,7 @@
 // Of a dependency that isn't done.
 bool SubmissionHandler::is_cancelled(const std::string& uid) const {
     return finished_jobs_.find(uid) != nullptr ||
-           dependencies_.verdict(uid) == Dependencies::End::cancelled;
+           dependencies_.effective_outcome(uid) == Dependencies::Outcome::cancelled;
 }
 
 // Queues an open request's job to be written.
--- a/src/core/requests/submission_validation.cpp
+++ b/src/core/requests/submission_validation.cpp
@@ -43,8 +43,8 @@
     if (exceeds_limit(spec, team->limit)) {
         return Rejection{RejectionReason::over_team_limit};
     }
-    if (spec.kind == JobKind::gang && spec.tasks > max_gang_tasks(ctx)) {
-        return Rejection{RejectionReason::gang_too_large, std::to_string(max_gang_tasks(ctx))};
+    if (spec.kind == JobKind::gang && spec.tasks > gang_tasks_max(ctx)) {
+        return Rejection{RejectionReason::gang_too_large, std::to_string(gang_tasks_max(ctx))};
     }
     return std::nullopt;
 }
