--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -8,20 +8,20 @@
 namespace cranemoor::core {
 
 namespace {
-std::string prefix_of(std::uint64_t member) {
+std::string claim_batch_prefix(std::uint64_t member) {
     return fmt::format("c/s/{}-", member);
 }
 }  // namespace
 
 bool BatchedClaims::is_batched(const Job& job) const {
     const auto& table = ctx_.jobs.admission_table();
-    const JobSpec& s = job.spec;
-    // The rules of placement of others look at more than one task.
-    return table && table->shared && s.kind == JobKind::array && !s.zone_spread && !s.same_zone &&
-           job.page_size == 0;
+    const JobSpec& spec = job.spec;
+    // The placement rules of other jobs depend on several tasks at once.
+    return table && table->shared && spec.kind == JobKind::array && !spec.zone_spread &&
+           !spec.same_zone && job.page_size == 0;
 }
 
-// By zone: a job that is bound to one is its members', if there are any.
+// The members of `zone`, for a job that is bound to it, or all members if that zone has none.
 const BatchedClaims::WeightedMembers& BatchedClaims::weighted_members(
     const std::optional<std::string>& zone) const {
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
@@ -32,12 +32,12 @@
         weighted_members_table_ = table;
         if (ctx_.jobs.epoch() && ctx_.jobs.admission_table()) {
             const auto& parts = ctx_.jobs.admission_table()->parts;
-            for (const auto& m : ctx_.jobs.epoch()->members) {
-                auto part = parts.find(m.id);
-                // One that the table doesn't know yet is new, and has few machines.
+            for (const auto& member : ctx_.jobs.epoch()->members) {
+                auto part = parts.find(member.id);
+                // A member that the table doesn't list yet is new and owns few machines.
                 int weight = part == parts.end() ? 1 : std::max(1, part->second.weight);
-                weighted_members_by_zone_[""].emplace_back(m.id, weight);
-                weighted_members_by_zone_[m.zone].emplace_back(m.id, weight);
+                weighted_members_by_zone_[""].emplace_back(member.id, weight);
+                weighted_members_by_zone_[member.zone].emplace_back(member.id, weight);
             }
         }
     }
@@ -58,174 +58,174 @@
 }
 
 std::size_t BatchedClaims::record_overhead_bytes() const {
-    std::size_t sum = constants::claim_batch_overhead_bytes;
-    for (const auto& z : ctx_.settings.zones) {
-        sum += z.size() + 3;
+    std::size_t bytes = constants::claim_batch_overhead_bytes;
+    for (const auto& zone : ctx_.settings.zones) {
+        bytes += zone.size() + 3;
     }
-    return sum;
+    return bytes;
 }
 
-std::size_t BatchedClaims::max_record_bytes() const {
+std::size_t BatchedClaims::record_bytes_max() const {
     return std::min(ctx_.value_max(), constants::claim_batch_bytes_max);
 }
 
 std::size_t BatchedClaims::entry_bytes_per_write() const {
-    auto kept = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
+    auto live = static_cast<std::size_t>(static_cast<double>(record_bytes_max()) *
                                          constants::claim_batch_live_share_max);
-    return max_record_bytes() - std::min(max_record_bytes() / 2, kept + record_overhead_bytes());
+    return record_bytes_max() - std::min(record_bytes_max() / 2, live + record_overhead_bytes());
 }
 
 std::size_t BatchedClaims::live_bytes(const std::string& key) const {
     Revision revision = ctx_.jobs.revision_of(key);
-    LiveBytes& kept = live_bytes_cache_[key];
-    if (kept.revision != revision || ctx_.now.steady >= kept.until_s) {
-        kept = {revision, count_live_bytes(key),
+    LiveBytes& live = live_bytes_cache_[key];
+    if (live.revision != revision || ctx_.now.steady >= live.until_s) {
+        live = {revision, count_live_bytes(key),
                 ctx_.now.steady + constants::claim_batch_live_bytes_ttl_s};
     }
-    return kept.bytes;
+    return live.bytes;
 }
 
 std::size_t BatchedClaims::count_live_bytes(const std::string& key) const {
-    std::size_t sum = 0;
+    std::size_t bytes = 0;
     auto it = ctx_.jobs.claim_batches().find(key);
     if (it != ctx_.jobs.claim_batches().end()) {
-        for (const auto& e : it->second) {
-            sum += ctx_.jobs.is_entry_needed(*e) ? bytes_of(*e) : 0;
+        for (const auto& entry : it->second) {
+            bytes += ctx_.jobs.is_entry_needed(*entry) ? bytes_of(*entry) : 0;
         }
     }
-    return sum;
+    return bytes;
 }
 
-// Of our own records the one of which least is still needed, if that is little enough: what is
-// needed is written again with what is new.
+// Of our own records, the one with the fewest live bytes, if they are few enough: its live entries
+// are written again together with the new ones.
 Condition BatchedClaims::next_record() const {
-    for (const auto& [key, doubt] : unknown_outcomes_) {
-        // The next write of the same record decides: only one of the two can be carried out.
+    for (const auto& [key, outcome] : unknown_outcomes_) {
+        // The next write of the same record decides: only one of the two can be applied.
         if (!writes_in_flight_.contains(key) && !is_resolved(key)) {
-            return {key, doubt.revision};
+            return {key, outcome.revision};
         }
     }
-    auto prefix = prefix_of(ctx_.self.id);
+    auto prefix = claim_batch_prefix(ctx_.self.id);
     std::string best;
-    auto least = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
-                                          constants::claim_batch_live_share_max);
+    auto fewest = static_cast<std::size_t>(static_cast<double>(record_bytes_max()) *
+                                           constants::claim_batch_live_share_max);
     for (auto it = ctx_.jobs.claim_batches().lower_bound(prefix);
          it != ctx_.jobs.claim_batches().end() && it->first.compare(0, prefix.size(), prefix) == 0;
          ++it) {
         if (writes_in_flight_.contains(it->first) || unknown_outcomes_.contains(it->first)) {
             continue;
         }
-        std::size_t kept = live_bytes(it->first);
-        if (kept <= least) {
-            least = kept;
+        std::size_t live = live_bytes(it->first);
+        if (live <= fewest) {
+            fewest = live;
             best = it->first;
         }
-        if (kept == 0) {
+        if (live == 0) {
             break;
         }
     }
     if (!best.empty()) {
         return {best, ctx_.jobs.revision_of(best)};
     }
-    std::uint64_t n = 1;  // a new one
+    std::uint64_t number = 1;  // of a new record
     auto taken = [&](const std::string& key) {
         return ctx_.jobs.revision_of(key) != 0 || writes_in_flight_.contains(key) ||
                unknown_outcomes_.contains(key);
     };
-    while (taken(keys::claim_batch(ctx_.self.id, n))) {
-        ++n;
+    while (taken(keys::claim_batch(ctx_.self.id, number))) {
+        ++number;
     }
-    return {keys::claim_batch(ctx_.self.id, n), 0};
+    return {keys::claim_batch(ctx_.self.id, number), 0};
 }
 
-// What is still needed of a record is written again with what is new.
-void BatchedClaims::append_live_entries(const std::string& key, ClaimBatch& sheet) const {
+// Entries that are still needed are written again together with the new ones.
+void BatchedClaims::append_live_entries(const std::string& key, ClaimBatch& batch) const {
     if (auto it = ctx_.jobs.claim_batches().find(key); it != ctx_.jobs.claim_batches().end()) {
-        for (const auto& e : it->second) {
-            if (ctx_.jobs.is_entry_needed(*e)) {
-                sheet.entries.push_back(*e);
+        for (const auto& entry : it->second) {
+            if (ctx_.jobs.is_entry_needed(*entry)) {
+                batch.entries.push_back(*entry);
             }
         }
     }
 }
 
-// Whether a write without an answer was carried out or can't be any more.
+// Whether a write with an unknown outcome has been applied or can no longer be.
 bool BatchedClaims::is_resolved(const std::string& key) const {
-    const UnknownOutcome& d = unknown_outcomes_.at(key);
-    return ctx_.jobs.revision_of(key) != d.revision ||
-           ctx_.jobs.revision_of(keys::epoch) != d.epoch;
+    const UnknownOutcome& outcome = unknown_outcomes_.at(key);
+    return ctx_.jobs.revision_of(key) != outcome.revision ||
+           ctx_.jobs.revision_of(keys::epoch) != outcome.epoch;
 }
 
-// Guards against a claim that is made anew in another record while the first may still be carried
-// out. A record in doubt is written once more, with nothing new: whichever comes first, the other
-// fails.
+// Guards against a claim that is made again in another record while the first write may still be
+// applied. A record with an unknown outcome is written once more, without new entries: whichever of
+// the two writes is applied first, the other one fails.
 void BatchedClaims::resolve_unknown_outcomes() {
     std::vector<std::function<void()>> resolved_waiters;
     for (auto it = unknown_outcomes_.begin(); it != unknown_outcomes_.end();) {
-        auto& [key, doubt] = *it;
+        auto& [key, outcome] = *it;
         if (is_resolved(key)) {
-            std::move(doubt.waiters.begin(), doubt.waiters.end(),
+            std::move(outcome.waiters.begin(), outcome.waiters.end(),
                       std::back_inserter(resolved_waiters));
             it = unknown_outcomes_.erase(it);
             continue;
         }
         if (!writes_in_flight_.contains(key) && ctx_.is_member &&
-            ctx_.now.steady >= doubt.next_retry_s) {
-            doubt.next_retry_s = ctx_.now.steady + constants::store_retry_delay_s;
-            ClaimBatch sheet;
-            append_live_entries(key, sheet);
+            ctx_.now.steady >= outcome.next_retry_s) {
+            outcome.next_retry_s = ctx_.now.steady + constants::store_retry_delay_s;
+            ClaimBatch batch;
+            append_live_entries(key, batch);
             Txn txn;
             txn.purpose = Txn::Purpose::claim_batch;
-            txn.conditions = {ctx_.epoch_condition(), {key, doubt.revision}};
-            txn.writes = {{key, encode(sheet)}};
+            txn.conditions = {ctx_.epoch_condition(), {key, outcome.revision}};
+            txn.writes = {{key, encode(batch)}};
             writes_in_flight_.insert(key);
-            ctx_.txn(std::move(txn), [this, key = key](const StoreReply& r) {
-                ctx_.when_settled(r, [this, key] { writes_in_flight_.erase(key); });
+            ctx_.txn(std::move(txn), [this, key = key](const StoreReply& reply) {
+                ctx_.when_settled(reply, [this, key] { writes_in_flight_.erase(key); });
             });
         }
         ++it;
     }
-    for (const auto& each : resolved_waiters) {
-        each();
+    for (const auto& notify : resolved_waiters) {
+        notify();
     }
 }
 
 void BatchedClaims::write(std::vector<ClaimBatchEntry> entries, Txn txn,
                           std::function<void(const StoreReply&)> on_reply) {
-    Condition where = next_record();
-    ClaimBatch sheet;
-    append_live_entries(where.key, sheet);
+    Condition target = next_record();
+    ClaimBatch batch;
+    append_live_entries(target.key, batch);
     txn.writes_avoided = entries.size() - 1;
-    std::move(entries.begin(), entries.end(), std::back_inserter(sheet.entries));
+    std::move(entries.begin(), entries.end(), std::back_inserter(batch.entries));
     txn.conditions.push_back(ctx_.epoch_condition());
-    txn.conditions.push_back(where);
-    txn.writes.push_back({where.key, encode(sheet)});
+    txn.conditions.push_back(target);
+    txn.writes.push_back({target.key, encode(batch)});
     txn.purpose = Txn::Purpose::claim_batch;
-    writes_in_flight_.insert(where.key);
+    writes_in_flight_.insert(target.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
-    ctx_.txn(std::move(txn),
-             [this, where, epoch, on_reply = std::move(on_reply)](const StoreReply& r) {
-                 ctx_.when_settled(r, [this, key = where.key] { writes_in_flight_.erase(key); });
-                 if (r.status == StoreReply::Status::unknown) {
-                     UnknownOutcome& doubt = unknown_outcomes_[where.key];
-                     doubt.revision = where.revision;
-                     doubt.epoch = epoch;
-                     doubt.waiters.emplace_back([on_reply, r] { on_reply(r); });
-                 } else {
-                     on_reply(r);
-                 }
-             });
+    ctx_.txn(std::move(txn), [this, target, epoch,
+                              on_reply = std::move(on_reply)](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this, key = target.key] { writes_in_flight_.erase(key); });
+        if (reply.status == StoreReply::Status::unknown) {
+            UnknownOutcome& outcome = unknown_outcomes_[target.key];
+            outcome.revision = target.revision;
+            outcome.epoch = epoch;
+            outcome.waiters.emplace_back([on_reply, reply] { on_reply(reply); });
+        } else {
+            on_reply(reply);
+        }
+    });
 }
 
-// Whether a record of sheets has nothing that anybody needs, and nobody will write it again.
+// Whether a claim batch record has no entry that is still needed and will not be written again.
 bool BatchedClaims::is_retirable(const std::string& key) const {
-    auto prefix = prefix_of(ctx_.self.id);
+    auto prefix = claim_batch_prefix(ctx_.self.id);
     const auto& table = ctx_.jobs.admission_table();
     const auto& epoch = ctx_.jobs.epoch();
-    bool own_record = key.compare(0, prefix.size(), prefix) == 0;
-    bool leading = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
-    bool no_writer_left =
-        own_record ? !table || !table->shared : leading && !epoch->has(std::stoull(key.substr(4)));
+    bool is_own_record = key.compare(0, prefix.size(), prefix) == 0;
+    bool is_leader = epoch && !epoch->members.empty() && epoch->members.front().id == ctx_.self.id;
+    bool no_writer_left = is_own_record ? !table || !table->shared
+                                        : is_leader && !epoch->has(std::stoull(key.substr(4)));
     return no_writer_left && !writes_in_flight_.contains(key) && !unknown_outcomes_.contains(key) &&
            count_live_bytes(key) == 0;
 }
@@ -237,11 +237,11 @@
     }
     next_retire_s_ = ctx_.now.steady + constants::record_cleanup_interval_s;
     std::erase_if(live_bytes_cache_,
-                  [&](const auto& k) { return ctx_.jobs.revision_of(k.first) == 0; });
+                  [&](const auto& cached) { return ctx_.jobs.revision_of(cached.first) == 0; });
     Txn txn;
     txn.urgency = Urgency::low;
     txn.conditions.push_back(ctx_.epoch_condition());
-    for (const auto& [key, said] : ctx_.jobs.claim_batches()) {
+    for (const auto& [key, entries] : ctx_.jobs.claim_batches()) {
         if (txn.writes.size() < constants::claim_batch_deletions_per_txn_max && is_retirable(key)) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
@@ -251,8 +251,8 @@
         return;
     }
     retire_in_flight_ = true;
-    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
-        ctx_.when_settled(r, [this] { retire_in_flight_ = false; });
+    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this] { retire_in_flight_ = false; });
     });
 }
 
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -1,10 +1,10 @@
-// Batched claims: while the admission table marks writes as scarce (`AdmissionTable::shared`), the
-// claims and completions of many job-array tasks are written together into one shared record per
-// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block.
-// Claims in different records cannot see each other, so each block of such a job is assigned one
-// owning controller (weighted rendezvous hashing, `admission::shard_owner`), and only that
-// controller claims from it. Writes whose outcome is unknown are resolved before the record is used
-// again.
+/// Batched claims: while the admission table marks writes as scarce (`admission::Table::shared`),
+/// the claims and exits of many job-array tasks are written together into a few records of each
+/// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block.
+/// Claims in different records cannot see each other, so each block of such a job is assigned one
+/// owning controller (weighted rendezvous hashing, `admission::shard_owner`), and only that
+/// controller claims from it. Writes whose outcome is unknown are resolved before the record is
+/// used again.
 #pragma once
 
 #include <functional>
@@ -17,13 +17,14 @@
 
 namespace cranemoor::core {
 
+/// Writes and deletes claim batch records, and says which jobs and blocks they are used for.
 class BatchedClaims {
   public:
     /// Reads the replica and the settings through `ctx`, and sends compare-and-swap writes through
     /// it.
     explicit BatchedClaims(Context& ctx) : ctx_(ctx) {}
 
-    /// Whether the claims and completions of `job` go into batched records: true while the
+    /// Whether the claims and exits of `job` go into batched records: true while the
     /// admission table asks for fewer writes and the job is a plain job array (no spread, no gang,
     /// no pages).
     bool is_batched(const Job& job) const;
@@ -54,36 +55,37 @@
     using WeightedMembers = std::vector<std::pair<std::uint64_t, int>>;
     const WeightedMembers& weighted_members(const std::optional<std::string>& zone) const;
     std::size_t record_overhead_bytes() const;
-    std::size_t max_record_bytes() const;
+    std::size_t record_bytes_max() const;
     std::size_t live_bytes(const std::string& key) const;
     std::size_t count_live_bytes(const std::string& key) const;
     bool is_retirable(const std::string& key) const;
-    void append_live_entries(const std::string& key, ClaimBatch& sheet) const;
+    void append_live_entries(const std::string& key, ClaimBatch& batch) const;
     bool is_resolved(const std::string& key) const;
     void resolve_unknown_outcomes();
 
     Context& ctx_;
-    std::set<std::string> writes_in_flight_;  // records with a write under way
-    // Records with a write whose outcome is unknown, and what waits for it. What was claimed there
-    // is claimed in no other record meanwhile, since both could be applied.
+    std::set<std::string> writes_in_flight_;  // keys of records with a write in flight
+    // A write of a record whose outcome is unknown, and the callbacks that wait for it. Until it is
+    // resolved, its claims are made in no other record, since both writes could be applied.
     struct UnknownOutcome {
         Revision revision = 0;  // that the write expected
         Revision epoch = 0;     // revision of the membership epoch at the write
         std::vector<std::function<void()>> waiters;
         double next_retry_s = 0;  // steady time of the next rewrite that resolves it
     };
-    std::map<std::string, UnknownOutcome> unknown_outcomes_;
-    bool retire_in_flight_ = false;  // a deletion of unneeded records is under way
+    std::map<std::string, UnknownOutcome> unknown_outcomes_;  // by key of the record
+    bool retire_in_flight_ = false;  // a deletion of unneeded records is in flight
     double next_retire_s_ = 0;       // steady time of the next deletion pass
-    // Bytes of a record that are still needed, as counted lately. What is no longer needed never is
-    // again, so an older count is only too high.
+    // Cached count of the bytes of a record that are still needed. An entry that is no longer
+    // needed never is again, so an outdated count can only be too high.
     struct LiveBytes {
         Revision revision = 0;  // of the record when counted
         std::size_t bytes = 0;
         double until_s = 0;  // steady time until which the count is used
     };
     mutable std::unordered_map<std::string, LiveBytes> live_bytes_cache_;
-    // Controllers and their weights, of all zones (key "") and by zone, as of an epoch and a table.
+    // Members and their weights, of all zones (key "") and by zone, as of the revisions below of
+    // the epoch and the admission table.
     mutable std::map<std::string, WeightedMembers> weighted_members_by_zone_;
     mutable Revision weighted_members_epoch_ = 0;
     mutable Revision weighted_members_table_ = 0;
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -12,7 +12,7 @@
         return;
     }
     if (!ctx_.upgraded()) {
-        ctx_.jobs_to_split.clear();  // whoever needs it asks again
+        ctx_.jobs_to_split.clear();  // requested again by whoever needs it
         return;
     }
     for (const auto& uid : std::exchange(ctx_.jobs_to_split, {})) {
@@ -23,21 +23,22 @@
     }
 }
 
-// One small write turns a job's block records into what its pages are made from. Each page comes
-// with the first change of its tasks, conditional on the records it is made from: no step needs
-// more than one value, and a crash between two of them loses nothing.
+// One small write makes the job's block records the base of its pages. The record of each page is
+// written with the first change of its tasks, conditional on the block records that it derives
+// from: no step needs more than one value, and a crash between two steps loses nothing.
 void OversizedBlockSplit::split(const Job& job) {
     JobRecord record = job.record();
     record.page_size = tasks_per_block(ctx_);
-    std::size_t room = ctx_.value_max() - constants::block_overhead_bytes;
-    for (const auto& [k, b] : job.blocks) {
-        // Names may be longer than a block's size reckons with.
-        std::size_t tasks = std::max<std::size_t>(1, b.placed.size() + b.done.size());
-        std::size_t each = bytes_of(b) / tasks;
-        int fits = static_cast<int>(room / std::max<std::size_t>(1, each)) / 2 * 2;
-        record.page_size = std::max(2, std::min(record.page_size, fits));
+    std::size_t available_bytes = ctx_.value_max() - constants::block_overhead_bytes;
+    for (const auto& [index, block] : job.blocks) {
+        // Machine names may be longer than the block size is computed for.
+        std::size_t tasks = std::max<std::size_t>(1, block.placed.size() + block.done.size());
+        std::size_t bytes_per_task = bytes_of(block) / tasks;
+        int tasks_max =
+            static_cast<int>(available_bytes / std::max<std::size_t>(1, bytes_per_task)) / 2 * 2;
+        record.page_size = std::max(2, std::min(record.page_size, tasks_max));
     }
-    record.cancelled_wall = job.cancelled_wall;  // perhaps it stood in the block
+    record.cancelled_wall = job.cancelled_wall;  // it may have been only in the block record
     Txn txn;
     txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
@@ -45,11 +46,11 @@
         txn.conditions.push_back({keys::block(job.spec.uid, 0), job.block(0).revision});
     }
     txn.writes = {{keys::job(job.spec.uid), encode(record)}};
-    ctx_.info("job {}: its blocks are too large, parted into pages of {} tasks", job.spec.uid,
-              record.page_size);
+    ctx_.info("job {}: block records exceed the value limit, splitting them into pages of {} tasks",
+              job.spec.uid, record.page_size);
     splits_in_flight_.insert(job.spec.uid);
-    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& r) {
-        ctx_.when_settled(r, [this, uid] { splits_in_flight_.erase(uid); });
+    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this, uid] { splits_in_flight_.erase(uid); });
     });
 }
 
--- a/src/core/jobs/oversized_block_split.hpp
+++ b/src/core/jobs/oversized_block_split.hpp
@@ -1,5 +1,5 @@
-// OversizedBlockSplit: splits the block records of jobs that were written under a larger value
-// limit and that can't be written again under the present one.
+/// OversizedBlockSplit: splits block records that were written under a larger value limit and can't
+/// be written again under the present one.
 #pragma once
 
 #include <set>
@@ -9,14 +9,15 @@
 
 namespace cranemoor::core {
 
-/// Gives the jobs named in `Context::to_part` pages: smaller blocks with records of their own.
+/// Splits the blocks of the jobs in `Context::jobs_to_split` into pages: smaller blocks with
+/// records of their own.
 class OversizedBlockSplit {
   public:
     /// Reads the replica and sends writes through `ctx`, which must outlive this.
     explicit OversizedBlockSplit(Context& ctx) : ctx_(ctx) {}
 
-    /// One step per controller tick: splits the jobs asked for since the last one, once all
-    /// controllers understand split jobs.
+    /// One step per controller tick: splits the jobs requested since the last one, once all
+    /// controllers understand pages.
     void tick();
 
   private:
