--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -6,172 +6,182 @@
 
 namespace {
 
-bool unlimited(const Team& t) {
-    return t.limit.cpus <= 0 && t.limit.gpus <= 0;
+bool is_unlimited(const Team& team) {
+    return team.limit.cpus <= 0 && team.limit.gpus <= 0;
 }
 
-// Whether an amount is within a limit, where 0 means none.
-bool within(const Resources& amount, const Team& t) {
-    return (t.limit.cpus <= 0 || amount.cpus <= t.limit.cpus + Resources::rounding_tolerance) &&
-           (t.limit.gpus <= 0 || amount.gpus <= t.limit.gpus + Resources::rounding_tolerance);
+// Whether an amount is within the limit of its team; a limit of 0 means none.
+bool fits_limit(const Resources& amount, const Team& team) {
+    return (team.limit.cpus <= 0 ||
+            amount.cpus <= team.limit.cpus + Resources::rounding_tolerance) &&
+           (team.limit.gpus <= 0 || amount.gpus <= team.limit.gpus + Resources::rounding_tolerance);
 }
 
-Resources at_least_zero(Resources r) {
-    return {std::max(0.0, r.cpus), std::max(0.0, r.gpus), std::max(0.0, r.memory_gb)};
+Resources non_negative(Resources amount) {
+    return {std::max(0.0, amount.cpus), std::max(0.0, amount.gpus),
+            std::max(0.0, amount.memory_gb)};
 }
 
-// What of an amount its team's limit counts: a slice carries nothing else, or every claim would
-// outgrow it in what nobody limits.
-Resources counted(const Resources& r, const Team& t) {
-    return {t.limit.cpus > 0 ? r.cpus : 0, t.limit.gpus > 0 ? r.gpus : 0, 0};
+// The part of an amount that the team's limit restricts. A slice contains nothing else, as
+// otherwise every claim would exceed it in a resource that has no limit.
+Resources limited_part(const Resources& amount, const Team& team) {
+    return {team.limit.cpus > 0 ? amount.cpus : 0, team.limit.gpus > 0 ? amount.gpus : 0, 0};
 }
 
-bool none(const Resources& r) {
-    return r.cpus < Resources::rounding_tolerance && r.gpus < Resources::rounding_tolerance &&
-           r.memory_gb < Resources::rounding_tolerance;
+bool is_zero(const Resources& amount) {
+    return amount.cpus < Resources::rounding_tolerance &&
+           amount.gpus < Resources::rounding_tolerance &&
+           amount.memory_gb < Resources::rounding_tolerance;
 }
 
 }  // namespace
 
 const Team* Quota::team(const std::string& name) const {
-    for (const auto& t : ctx_.settings.teams) {
-        if (t.name == name) {
-            return &t;
+    for (const auto& candidate : ctx_.settings.teams) {
+        if (candidate.name == name) {
+            return &candidate;
         }
     }
     return nullptr;
 }
 
-QuotaSlices Quota::trimmed(const Team& t) const {
-    QuotaSlices next;
-    auto it = ctx_.jobs.quota_slices().find(keys::quota(t.name));
+QuotaSlices Quota::reclaimed_slices(const Team& team) const {
+    QuotaSlices slices;
+    auto it = ctx_.jobs.quota_slices().find(keys::quota(team.name));
     if (it != ctx_.jobs.quota_slices().end()) {
-        next = it->second;
+        slices = it->second;
     }
     const auto& epoch = ctx_.jobs.epoch();
-    for (auto s = next.by_member.begin(); s != next.by_member.end();) {
-        if (!epoch || !epoch->has(s->first)) {
-            // Claims of a member that left the epoch are all in the records, since each was
-            // conditional on an epoch with it: its slice is worth what they still take.
-            s->second = at_least_zero(counted(ctx_.jobs.used(t.name, s->first), t));
+    for (auto slice = slices.by_member.begin(); slice != slices.by_member.end();) {
+        if (!epoch || !epoch->has(slice->first)) {
+            // All claims of a member that left the epoch are in the records, since each was
+            // conditional on an epoch with that member: its slice shrinks to what they still use.
+            slice->second =
+                non_negative(limited_part(ctx_.jobs.used(team.name, slice->first), team));
         }
-        bool empty = none(s->second) && s->first != ctx_.self.id;
-        s = empty ? next.by_member.erase(s) : std::next(s);
+        bool empty = is_zero(slice->second) && slice->first != ctx_.self.id;
+        slice = empty ? slices.by_member.erase(slice) : std::next(slice);
     }
-    return next;
+    return slices;
 }
 
-bool Quota::cover(const std::string& name, const Resources& need, Txn& txn) const {
-    const Team* t = team(name);
-    if (t == nullptr) {
+bool Quota::ensure_slice(const std::string& name, const Resources& additional, Txn& txn) const {
+    const Team* team_settings = team(name);
+    if (team_settings == nullptr) {
         return false;
     }
-    if (unlimited(*t)) {
+    if (is_unlimited(*team_settings)) {
         return true;
     }
-    Resources wanted = ctx_.jobs.used(name, ctx_.self.id) + need;
-    if (auto p = pending_.find(name); p != pending_.end()) {
-        wanted += p->second;
+    Resources needed = ctx_.jobs.used(name, ctx_.self.id) + additional;
+    if (auto pending = pending_claims_.find(name); pending != pending_claims_.end()) {
+        needed += pending->second;
     }
-    wanted = counted(wanted, *t);
+    needed = limited_part(needed, *team_settings);
     auto key = keys::quota(name);
     auto it = ctx_.jobs.quota_slices().find(key);
     if (it != ctx_.jobs.quota_slices().end()) {
         auto mine = it->second.by_member.find(ctx_.self.id);
-        auto low = ceilings_.find(name);
-        bool given_up = low != ceilings_.end() && low->second.revision == it->second.revision &&
-                        !wanted.fits_in(low->second.amount);
-        if (mine != it->second.by_member.end() && wanted.fits_in(mine->second) && !given_up) {
+        auto cap = slice_caps_.find(name);
+        bool exceeds_cap = cap != slice_caps_.end() &&
+                           cap->second.revision == it->second.revision &&
+                           !needed.fits_in(cap->second.amount);
+        if (mine != it->second.by_member.end() && needed.fits_in(mine->second) && !exceeds_cap) {
             return true;
         }
     }
-    QuotaSlices next = trimmed(*t);
-    Resources& slice = next.by_member[ctx_.self.id];
-    const Resources before = slice;
-    auto grow = [&](const Resources& to) {
-        slice = {std::max(before.cpus, to.cpus), std::max(before.gpus, to.gpus),
-                 std::max(before.memory_gb, to.memory_gb)};
-        return within(next.total(), *t);
+    QuotaSlices slices = reclaimed_slices(*team_settings);
+    Resources& slice = slices.by_member[ctx_.self.id];
+    const Resources previous = slice;
+    auto grow_slice = [&](const Resources& target) {
+        slice = {std::max(previous.cpus, target.cpus), std::max(previous.gpus, target.gpus),
+                 std::max(previous.memory_gb, target.memory_gb)};
+        return fits_limit(slices.total(), *team_settings);
     };
-    // More than is needed now, while there is enough for everybody: the next claims then leave
-    // the record alone.
-    if (!grow(wanted + t->limit * constants::quota_slice_growth_share) && !grow(wanted)) {
+    // While the limit allows it, the slice grows by more than is needed now, so that the next
+    // claims need no write of the record.
+    if (!grow_slice(needed + team_settings->limit * constants::quota_slice_growth_share) &&
+        !grow_slice(needed)) {
         return false;
     }
-    for (auto& w : txn.writes) {
-        if (w.key == key) {
-            w.value = encode(next);  // an earlier claim of the same transaction grew it already
+    for (auto& write : txn.writes) {
+        if (write.key == key) {
+            write.value = encode(slices);  // grown already for an earlier claim of the transaction
             return true;
         }
     }
     txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
-    txn.writes.push_back({key, encode(next)});
+    txn.writes.push_back({key, encode(slices)});
     return true;
 }
 
 void Quota::reserve(const std::string& name, const Resources& amount) {
-    pending_[name] += amount;
+    pending_claims_[name] += amount;
 }
 
 void Quota::release(const std::string& name, const Resources& amount) {
-    pending_[name] = at_least_zero(pending_[name] - amount);
+    pending_claims_[name] = non_negative(pending_claims_[name] - amount);
 }
 
 bool Quota::within_limit(const std::string& name, const Resources& more) const {
-    const Team* t = team(name);
-    return t != nullptr && within(ctx_.jobs.used(name) + more, *t);
+    const Team* team_settings = team(name);
+    return team_settings != nullptr && fits_limit(ctx_.jobs.used(name) + more, *team_settings);
 }
 
-// What the largest start takes that the team waits for: a gang's tasks together, or one task.
+// Each resource's maximum over the starts that the team waits for: all tasks of a gang, or one
+// task.
 Resources Quota::largest_start(const std::string& name) const {
-    Resources most;
+    Resources largest;
     for (const Job* job : ctx_.jobs.open_jobs()) {
-        const JobSpec& s = job->spec;
-        if (s.team == name) {
-            Resources r = s.task_resources * (s.kind == JobKind::gang ? s.tasks : 1);
-            most = {std::max(most.cpus, r.cpus), std::max(most.gpus, r.gpus), 0};
+        const JobSpec& spec = job->spec;
+        if (spec.team == name) {
+            Resources amount = spec.task_resources * (spec.kind == JobKind::gang ? spec.tasks : 1);
+            largest = {std::max(largest.cpus, amount.cpus), std::max(largest.gpus, amount.gpus), 0};
         }
     }
-    return most;
+    return largest;
 }
 
 void Quota::tick() {
-    if (!ctx_.is_member || ctx_.now.steady < next_return_) {
+    if (!ctx_.is_member || ctx_.now.steady < next_return_s_) {
         return;
     }
-    next_return_ = ctx_.now.steady + constants::quota_slice_return_interval_s;
-    for (const auto& t : ctx_.settings.teams) {
-        auto key = keys::quota(t.name);
+    next_return_s_ = ctx_.now.steady + constants::quota_slice_return_interval_s;
+    for (const auto& team : ctx_.settings.teams) {
+        auto key = keys::quota(team.name);
         auto it = ctx_.jobs.quota_slices().find(key);
-        if (unlimited(t) || it == ctx_.jobs.quota_slices().end()) {
+        if (is_unlimited(team) || it == ctx_.jobs.quota_slices().end()) {
             continue;
         }
         auto mine = it->second.by_member.find(ctx_.self.id);
         if (mine == it->second.by_member.end()) {
             continue;
         }
-        // What is unused is given back only where the team is near its limit and another member
-        // might miss it: a slice in hand saves a write with the next claim. Guards against a job
-        // that waits for ever below its team's limit, since the rest lies in others' slices.
-        Resources share = t.limit * constants::quota_slice_return_share;
-        Resources start = largest_start(t.name);
-        Resources near = it->second.total() + Resources{std::max(share.cpus, start.cpus),
-                                                        std::max(share.gpus, start.gpus), 0};
-        Resources used =
-            counted(at_least_zero(ctx_.jobs.used(t.name, ctx_.self.id)) + pending_[t.name], t);
+        // The unused part of the slice is returned only if the team is near its limit, where
+        // another member may need it: a slice that is kept saves the next claim a write. Guards
+        // against a job that waits for ever below its team's limit, because the rest is in the
+        // slices of other members.
+        Resources margin = team.limit * constants::quota_slice_return_share;
+        Resources largest_task_or_gang = largest_start(team.name);
+        Resources total_with_margin =
+            it->second.total() + Resources{std::max(margin.cpus, largest_task_or_gang.cpus),
+                                           std::max(margin.gpus, largest_task_or_gang.gpus), 0};
+        Resources used = limited_part(
+            non_negative(ctx_.jobs.used(team.name, ctx_.self.id)) + pending_claims_[team.name],
+            team);
         bool surplus = mine->second.gpus > used.gpus + Resources::rounding_tolerance ||
                        mine->second.cpus > used.cpus + Resources::rounding_tolerance;
-        if (within(near, t) || !surplus) {
+        if (fits_limit(total_with_margin, team) || !surplus) {
             continue;
         }
-        QuotaSlices next = trimmed(t);
-        next.by_member[ctx_.self.id] = used;
+        QuotaSlices slices = reclaimed_slices(team);
+        slices.by_member[ctx_.self.id] = used;
         Txn txn;
         txn.conditions = {ctx_.epoch_condition(), {key, it->second.revision}};
-        txn.writes = {{key, encode(next)}};
-        // From here on no claim may lean on what is given up, whatever becomes of the answer:
-        // the write may be executed late, for as long as the record keeps its revision.
-        ceilings_[t.name] = {it->second.revision, used};
+        txn.writes = {{key, encode(slices)}};
+        // From here on no claim may use what is returned, whatever the reply is: the write may be
+        // applied late, for as long as the record keeps its revision.
+        slice_caps_[team.name] = {it->second.revision, used};
         ctx_.txn(txn, [](const StoreReply&) {});
     }
 }
--- a/src/core/quota/quota.hpp
+++ b/src/core/quota/quota.hpp
@@ -1,5 +1,6 @@
-// Quota: a team's limit is held in slices by members, in one record per team. A member claims
-// within its slice without touching the record, and takes more from what nobody holds.
+/// Quota: a team's limit is divided into slices by member, in one record per team. A member claims
+/// within its slice without a write of the record, and grows its slice from the part of the limit
+/// that is in no slice.
 #pragma once
 
 #include <map>
@@ -9,36 +10,47 @@
 
 namespace cranemoor::core {
 
+/// The limits of all teams, and this member's slices of them.
 class Quota {
   public:
+    /// Reads the settings and the replica through `ctx`, and sends writes through it.
     explicit Quota(Context& ctx) : ctx_(ctx) {}
 
+    /// The settings of the team of that name, or null.
     const Team* team(const std::string& name) const;
-    // Whether `need` more can be claimed by this member. If its slice must grow for that, the
-    // transaction is given the change. False: the limit, or a change under way, forbids it.
-    bool cover(const std::string& name, const Resources& need, Txn& txn) const;
-    // Amounts of claims that are under way or whose outcome is unknown.
+    /// Whether this member may claim `additional` resources for a team. If its slice must grow for
+    /// that, adds the write of the quota record to `txn`, with the condition on its revision. False
+    /// if the limit or a change in flight forbids it, or the team is unknown.
+    bool ensure_slice(const std::string& name, const Resources& additional, Txn& txn) const;
+    /// Counts the amount of a claim that is in flight or whose outcome is unknown against the
+    /// slice.
     void reserve(const std::string& name, const Resources& amount);
+    /// Undoes `reserve`, once the replica shows the claim or the claim can no longer be applied.
     void release(const std::string& name, const Resources& amount);
-    // What the whole team may still claim, as far as the records say.
+    /// Whether `more` on top of all placed tasks of the team is within its limit, by the records in
+    /// the replica. False if the team is unknown.
     bool within_limit(const std::string& name, const Resources& more) const;
+    /// Returns unused parts of this member's slices that other members may need. Called once per
+    /// controller tick.
     void tick();
 
   private:
-    // The slices with what the dead no longer need removed.
-    QuotaSlices trimmed(const Team& team) const;
+    // The team's slices without what members that left the epoch no longer use.
+    QuotaSlices reclaimed_slices(const Team& team) const;
 
     Resources largest_start(const std::string& name) const;
 
-    struct Ceiling {
-        Revision revision = 0;  // of the record that the slice was given up from
-        Resources amount;
+    // Bound on the use of a slice after a write that returns part of it was sent. It holds while
+    // the record has the revision that this write expects.
+    struct SliceCap {
+        Revision revision = 0;
+        Resources amount;  // that may still be used
     };
 
     Context& ctx_;
-    std::map<std::string, Resources> pending_;
-    std::map<std::string, Ceiling> ceilings_;
-    double next_return_ = 0;
+    std::map<std::string, Resources> pending_claims_;  // in flight or of unknown outcome, by team
+    std::map<std::string, SliceCap> slice_caps_;       // by team
+    double next_return_s_ = 0;  // steady time of the next check for unused parts
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -33,7 +33,7 @@
 bool ClaimWriter::cover_quota(ClaimTarget target, const std::string& team,
                               const Resources& amount) {
     Txn& txn = target == ClaimTarget::batched_record ? batched_entries_.txn : block_claims_.txn;
-    return quota_.cover(team, amount, txn);
+    return quota_.ensure_slice(team, amount, txn);
 }
 
 void ClaimWriter::add_block_claim(const Job& job, const std::map<int, Block>& blocks,
