--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -25,7 +25,7 @@
     const MachineType* type = cheapest_type_for(spec);
     // Nothing is launched for a job that is likely to fail again, unless it finds no room for
     // long: it must have its retries.
-    bool likely_to_fail = job.fails_repeatedly() && ctx_.now.steady - pending_job.pending_since <
+    bool likely_to_fail = job.fails_repeatedly() && ctx_.now.steady - pending_job.pending_since_s <
                                                         constants::job_backoff_max_s;
     if (type == nullptr || likely_to_fail) {
         return;
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -9,7 +9,7 @@
 namespace cranemoor::core {
 
 std::map<int, Block> GangPlacement::next_attempt(const Job& job) const {
-    // One more write for the team's quota record.
+    // One more write is needed for the team's quota record.
     bool fits_transaction = job.block_count() + 1 <= ctx_.settings.store_txn_ops_max;
     if (!fits_transaction || job.open() != job.spec.tasks) {
         return {};
@@ -33,7 +33,7 @@
 GangPlacement::Places GangPlacement::find(SchedulingRound& round, const Job& job) const {
     const JobSpec& spec = job.spec;
     int image = agents_.image_number(spec.image);
-    // By zone; of a gang that needn't stay in one zone, all under one name.
+    // By zone; under the empty name for a gang that may be spread over zones.
     std::map<std::string, std::vector<Candidate>> candidates_by_zone;
     for (auto& offer : round.offers) {
         if (offer.is_reserved_against(spec) || !spec.task_resources.fits_in(offer.room) ||
@@ -58,7 +58,7 @@
     return best;
 }
 
-// As many of a gang's tasks as the candidates take, in their order.
+// Places as many of the gang's tasks as the candidates take, in the order of the candidates.
 GangPlacement::Places GangPlacement::fill(const std::vector<Candidate>& candidates,
                                           const JobSpec& spec) {
     Places places;
@@ -80,8 +80,8 @@
     return places;
 }
 
-bool GangPlacement::enter_places(const Job& job, const Places& places,
-                                 std::map<int, Block>& blocks) const {
+bool GangPlacement::add_placements(const Job& job, const Places& places,
+                                   std::map<int, Block>& blocks) const {
     std::map<int, std::size_t> bytes_by_block;
     for (const auto& place : places.tasks) {
         int index = job.block_of(place.task);
--- a/src/core/scheduling/gang_placement.hpp
+++ b/src/core/scheduling/gang_placement.hpp
@@ -1,6 +1,6 @@
-// Gang placement: where a gang could start whole, and its block records with all tasks placed.
-// All blocks of a gang are claimed in one transaction, so that one controller starts it, also on
-// machines of other controllers, which launch what the records say.
+// Gang placement: finds machines for all tasks of a gang at once, and fills in its block records
+// with all tasks placed. All blocks of a gang are claimed in one transaction, so that one
+// controller starts it, also on machines of other controllers, which launch what the records say.
 #pragma once
 
 #include <map>
@@ -14,13 +14,13 @@
 
 namespace cranemoor::core {
 
-/// Finds places for gangs (gang scheduling: all tasks at once or none).
+/// Finds machines for gangs (gang scheduling: all tasks at once or none).
 class GangPlacement {
   public:
-    /// Places for a gang's tasks.
+    /// The machines chosen for a gang's tasks.
     struct Places {
         std::vector<TaskPlace> tasks;
-        /// How many of them are on machines with the gang's image; -1: nothing was found.
+        /// Number of tasks on machines that have the gang's image; -1: no placement was found.
         int with_image = -1;
     };
 
@@ -29,15 +29,16 @@
                   const PlacementConstraints& constraints)
         : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
-    /// The gang's blocks with the number of its next attempt, by block; empty if it can't be
+    /// The gang's blocks, by index, with the number of its next attempt. Empty if the gang can't be
     /// claimed now: a write of one of its blocks is in flight, some task is placed or done, or it
-    /// has more blocks than a transaction takes.
+    /// has more blocks than one transaction can write.
     std::map<int, Block> next_attempt(const Job& job) const;
-    /// Where the whole gang fits: with most of its tasks on machines that have its image, and of
-    /// equals in our zone. No tasks if it fits nowhere.
+    /// Machines for the whole gang: those with the image for the most tasks, and among equals those
+    /// in this controller's zone. `tasks` is empty if the whole gang fits nowhere.
     Places find(SchedulingRound& round, const Job& job) const;
-    /// Enters the places into the gang's blocks; false if a block outgrows its record.
-    bool enter_places(const Job& job, const Places& places, std::map<int, Block>& blocks) const;
+    /// Adds the placements to the gang's blocks. Returns false if a block would exceed the largest
+    /// record of the key-value store.
+    bool add_placements(const Job& job, const Places& places, std::map<int, Block>& blocks) const;
 
   private:
     static Places fill(const std::vector<Candidate>& candidates, const JobSpec& spec);
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -6,7 +6,7 @@
 
 const GangReservations::Reservation* GangReservations::find(const std::string& machine) const {
     auto found = reservations_.find(machine);
-    bool in_force = found != reservations_.end() && found->second.until >= ctx_.now.steady;
+    bool in_force = found != reservations_.end() && found->second.expires_at_s >= ctx_.now.steady;
     return in_force ? &found->second : nullptr;
 }
 
@@ -24,12 +24,14 @@
     if (pending.job->fails_repeatedly() || pending.shard_rank != 0) {
         return false;
     }
-    // Gangs below their minimum share need whole machines, one after the other would be too few.
-    bool may_be_another = pending.below_min_share &&
-                          (is_reserving(pending.uid) ||
-                           reserving_since_.size() < constants::min_share_gang_reservations_max);
+    // Gangs of flows below their minimum share need whole machines, and serving one gang of a team
+    // after the other would give the flow too few.
+    bool may_reserve_more =
+        pending.below_min_share &&
+        (is_reserving(pending.uid) ||
+         reserving_since_s_.size() < constants::min_share_gang_reservations_max);
     bool first_of_team = round.teams_reserving.insert(pending.team).second;
-    return first_of_team || may_be_another;
+    return first_of_team || may_reserve_more;
 }
 
 void GangReservations::reserve_for_gang(SchedulingRound& round, const PendingJob& pending) {
@@ -37,15 +39,15 @@
         return;
     }
     const JobSpec& spec = pending.job->spec;
-    double since = reserving_since_.try_emplace(spec.uid, ctx_.now.steady).first->second;
+    double since = reserving_since_s_.try_emplace(spec.uid, ctx_.now.steady).first->second;
     double elapsed_s = ctx_.now.steady - since;
-    // Of a flow below its minimum share work that runs out must be waited for: while it is short
-    // of room, what others start there takes minutes.
+    // A gang of a flow below its minimum share waits longer for running work to end: while room is
+    // scarce, the tasks that other jobs start on these machines run for minutes.
     double duration_s = pending.below_min_share ? constants::min_share_gang_reservation_s
                                                 : ctx_.tunables.gang_reservation_s;
     if (elapsed_s > duration_s) {
         if (elapsed_s > duration_s + ctx_.tunables.gang_reservation_s) {
-            reserving_since_.erase(spec.uid);
+            reserving_since_s_.erase(spec.uid);
         }
         return;
     }
@@ -60,14 +62,14 @@
         ++reserved;
         const std::string& name = reservable.machine->name;
         reservations_[name] = {spec.uid, since + duration_s, spec.priority};
-        ctx_.debug("hold {} for gang {}", name, spec.uid);
+        ctx_.debug("machine {} reserved for gang {}", name, spec.uid);
     }
 }
 
 int GangReservations::count_reserved(const std::string& uid) const {
     return static_cast<int>(
         std::count_if(reservations_.begin(), reservations_.end(), [&](const auto& entry) {
-            return entry.second.uid == uid && entry.second.until >= ctx_.now.steady;
+            return entry.second.uid == uid && entry.second.expires_at_s >= ctx_.now.steady;
         }));
 }
 
@@ -78,7 +80,7 @@
            constraints_.allows(job, machine);
 }
 
-// Machines without services, which never end, those that will be empty soonest first.
+// Machines without services, since these never end; those that will be empty soonest come first.
 std::vector<GangReservations::Reservable> GangReservations::reservable_machines(
     const Job& job) const {
     std::vector<Reservable> machines;
@@ -107,11 +109,11 @@
 
 void GangReservations::on_jobs_placed(const std::set<std::string>& uids) {
     for (const auto& uid : uids) {
-        reserving_since_.erase(uid);
+        reserving_since_s_.erase(uid);
     }
     if (!uids.empty()) {
         std::erase_if(reservations_, [&](const auto& entry) {
-            return entry.second.until < ctx_.now.steady || uids.count(entry.second.uid) != 0;
+            return entry.second.expires_at_s < ctx_.now.steady || uids.count(entry.second.uid) != 0;
         });
     }
 }
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -1,6 +1,6 @@
-// Gang reservations: free room of a machine is kept for one job for a limited time, so that a gang
-// that needs several machines at once, or a job that work was preempted for, is not overtaken by
-// smaller ones. More urgent jobs may use the room all the same.
+// Gang reservations: the free room of a machine is kept for one job for a limited time, so that
+// smaller jobs don't overtake a gang that needs several machines at once or a job for which work
+// was preempted. Jobs of a higher priority may use the room nevertheless.
 #pragma once
 
 #include <map>
@@ -16,14 +16,14 @@
 
 namespace cranemoor::core {
 
-/// The reservations made by this controller, of its own machines. They are in memory only: another
-/// owner of a machine doesn't know of them.
+/// The reservations that this controller made on its own machines. They are kept in memory only: a
+/// later owner of a machine doesn't know of them.
 class GangReservations {
   public:
-    /// A machine's room, reserved for one job.
+    /// The reservation of a machine's room for one job.
     struct Reservation {
         std::string uid;
-        double until = 0;  // steady s
+        double expires_at_s = 0;  ///< steady clock
         Priority priority = Priority::normal;
     };
 
@@ -32,29 +32,30 @@
                      const PlacementConstraints& constraints)
         : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
-    /// The reservation of a machine that is in force, or nullptr.
+    /// The reservation in force on that machine, or nullptr.
     const Reservation* find(const std::string& machine) const;
-    /// Whether the machine is reserved for another job than `uid`.
+    /// Whether the machine is reserved for a job other than `uid`.
     bool is_reserved_for_other(const std::string& machine, const std::string& uid) const;
-    /// Whether the gang reserves machines, or did so lately.
-    bool is_reserving(const std::string& uid) const { return reserving_since_.contains(uid); }
-    /// Reserves the machine for a job for that time, in place of any reservation that it has.
+    /// Whether the gang may reserve machines now, or did so and is in the pause that follows.
+    bool is_reserving(const std::string& uid) const { return reserving_since_s_.contains(uid); }
+    /// Reserves the machine for a job for that many seconds, replacing any other reservation of it.
     void reserve(const std::string& machine, const JobSpec& spec, double seconds);
-    /// Lets a gang that does not fit reserve the machines of ours that will be empty soonest: the
-    /// first of each team in the round, and further ones of flows below their minimum share. After
-    /// its time is over it must pause, so that others get a chance and a gang that can't be helped
-    /// in this way keeps nothing idle.
+    /// Lets a gang that does not fit reserve the machines of this controller that will be empty
+    /// soonest: the first gang of each team in the round, and further gangs of flows below their
+    /// minimum share. When its reservation time is over the gang must pause, so that others get a
+    /// chance and a gang that reservations don't help keeps no machine idle.
     void reserve_for_gang(SchedulingRound& round, const PendingJob& pending);
-    /// Drops what is reserved for jobs that have nothing left to place, or are over, and what has
-    /// expired.
+    /// Drops the reservations of jobs that have nothing left to place or have ended; if there are
+    /// any such jobs, also all expired reservations.
     void on_jobs_placed(const std::set<std::string>& uids);
-    /// Machines may have changed their owner: drops all reservations.
+    /// Drops all reservations after a change of the membership epoch: machines may have another
+    /// owner now.
     void epoch_changed() { reservations_.clear(); }
 
   private:
-    /// A machine that may be reserved.
+    // A machine that may be reserved.
     struct Reservable {
-        double remaining_work_s = 0;  // until the last of its tasks is expected to end
+        double remaining_work_s = 0;  // until its last task is expected to end
         const Machine* machine = nullptr;
     };
 
@@ -67,7 +68,7 @@
     const AgentRegistry& agents_;
     const PlacementConstraints& constraints_;
     std::map<std::string, Reservation> reservations_;  // by machine
-    std::map<std::string, double> reserving_since_;    // by gang, steady s
+    std::map<std::string, double> reserving_since_s_;  // by gang; steady clock
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -5,22 +5,22 @@
 namespace cranemoor::core {
 
 namespace {
-// Scores of machines for tasks, see MachineScoring::score. The part of its CPUs that is free, at
-// most 1, is added to the score of a machine in use.
+// Scores of machines for tasks, see MachineScoring::score. The free share of its CPUs, at most 1,
+// is added to the score of a spot machine or a machine in use.
 constexpr double score_of_leftover_room = -1;
 constexpr double score_of_spot = 0;
 constexpr double score_of_ordinary_in_use = 1.5;
 constexpr double score_of_ordinary_empty = 3;
 
-// Scores of machines for gangs.
-constexpr double gang_score_of_other_owner = 2;
-constexpr double gang_score_without_open_heartbeat = 1;
+// Penalties added to the score of a machine for a gang.
+constexpr double gang_penalty_of_other_owner = 2;
+constexpr double gang_penalty_without_open_heartbeat = 1;
 }  // namespace
 
 double MachineScoring::score(const MachineOffer& offer, const Job& job) const {
-    // Spot machines first for jobs that may use them, machines in use next, and empty ordinary
-    // ones last: those are kept whole for gangs that need one. Work goes to the fullest machine,
-    // so that the others become empty.
+    // Spot machines come first for jobs that may use them, machines in use next, and empty ordinary
+    // machines last: those are kept whole for gangs that need one. Work goes to the fullest
+    // machine, so that the others become empty.
     const Machine& machine = *offer.machine;
     if (job.spec.kind == JobKind::gang && job.done() == 0) {
         return machine.spot ? 0 : 1;
@@ -29,21 +29,22 @@
         return score_of_ordinary_empty;
     }
     if (PlacementConstraints::is_best_effort_spot(job.spec) && !machine.spot) {
-        // Room that costs nothing, on machines that are not taken back.
+        // Leftover room costs nothing extra, on machines that the cloud doesn't interrupt.
         return score_of_leftover_room;
     }
     const MachineType* type = agents_.type(machine.type);
     double free_share =
         type != nullptr && type->size.cpus > 0 ? offer.room.cpus / type->size.cpus : 0;
-    // A start on a machine whose heartbeat was replied to waits for its next one.
+    // If the machine's last heartbeat has been replied to, a start has to wait for the next one.
     double reply_penalty = machine.open_request ? 0 : constants::sent_reply_penalty_share;
     return (machine.spot ? score_of_spot : score_of_ordinary_in_use) + free_share + reply_penalty;
 }
 
 double MachineScoring::score_for_gang(const MachineOffer& offer) {
-    // Our own first, and those whose heartbeat waits for its reply.
-    return (offer.owned_by_us ? 0 : gang_score_of_other_owner) +
-           (offer.machine->open_request ? 0 : gang_score_without_open_heartbeat);
+    // Machines of this controller come first; among equals, those whose heartbeat waits for its
+    // reply.
+    return (offer.owned_by_us ? 0 : gang_penalty_of_other_owner) +
+           (offer.machine->open_request ? 0 : gang_penalty_without_open_heartbeat);
 }
 
 bool MachineScoring::fits_machine_in_use(SchedulingRound& round, const MachineOffer& offer,
@@ -128,7 +129,7 @@
     return false;
 }
 
-// The room that a machine has, or is expected to have within the wait W.
+// The room that a machine has, or is expected to have within the delay scheduling wait W.
 Resources MachineScoring::room_within_wait(const Machine& machine) const {
     Resources room = agents_.room(machine);
     for (const auto& [id, placed] : agents_.site(machine).tasks) {
@@ -146,7 +147,7 @@
     if (std::any_of(offer.images_claimed.begin(), offer.images_claimed.end(), is_other)) {
         return true;
     }
-    agents_.room(*offer.machine);  // brings images_pulling up to date as well
+    agents_.room(*offer.machine);  // also updates images_pulling
     const auto& pulling = offer.machine->images_pulling;
     return std::any_of(pulling.begin(), pulling.end(), is_other);
 }
--- a/src/core/scheduling/machine_scoring.hpp
+++ b/src/core/scheduling/machine_scoring.hpp
@@ -1,5 +1,5 @@
-// Machine scoring: which of the machines that a job's tasks fit on are used first, and whether a
-// better machine than the one offered is there or will be soon, so that waiting for it pays.
+// Machine scoring: in which order the machines that fit a job's tasks are used, and whether a
+// better machine than the offered one is available now or soon, so that the job should wait for it.
 #pragma once
 
 #include "core/agents/agent_registry.hpp"
@@ -10,8 +10,8 @@
 
 namespace cranemoor::core {
 
-/// Scores offers for a job, and answers what the whole fleet has for it. The answers are kept in
-/// the round, since they are the same for all jobs of an equivalence class.
+/// Scores offers for a job, and answers questions about all machines for it. The answers are cached
+/// in the scheduling round, since they are the same for all jobs of an equivalence class.
 class MachineScoring {
   public:
     /// All arguments must outlive this object.
@@ -19,26 +19,27 @@
                    const PlacementConstraints& constraints)
         : ctx_(ctx), agents_(agents), constraints_(constraints) {}
 
-    /// The score of an offer for a job's tasks; the least is best. Spot machines come first, then
-    /// the fullest of the machines in use (bin packing), and empty ordinary machines last.
+    /// The score of an offer for a job's tasks; the lowest is best. Spot machines come first, then
+    /// the machines in use, the fullest first (bin packing), and empty ordinary machines last.
     double score(const MachineOffer& offer, const Job& job) const;
-    /// The score of an offer for a gang, which starts whole.
+    /// The score of an offer for a gang all of whose tasks start together; the lowest is best.
     static double score_for_gang(const MachineOffer& offer);
 
-    /// Whether the offer is an empty ordinary machine and a machine in use has room for the job's
-    /// tasks, which would otherwise take a machine that a gang may need whole.
+    /// Whether the offer is an empty ordinary machine while some machine in use has room for one of
+    /// the job's tasks: an empty machine may be needed whole by a gang.
     bool fits_machine_in_use(SchedulingRound& round, const MachineOffer& offer,
                              const PendingJob& pending) const;
-    /// Whether the offer is an empty ordinary machine, the job may use spot machines, and one with
-    /// room for it is up or booting.
+    /// Whether the offer is an empty ordinary machine while the job may use spot machines and one
+    /// with room for it is up or booting.
     bool fits_spot_machine(SchedulingRound& round, const MachineOffer& offer,
                            const PendingJob& pending) const;
-    /// Whether waiting may find the job machines with its image, for a gang as many as it has
-    /// tasks: such that have room, or where work is expected to end before W is over. Waiting for
-    /// others would cost a start its time. (Section 3.5.1 of the paper: long tasks and hotspots.)
+    /// Whether enough machines with the job's image (for a gang, one for each task) have room or
+    /// are expected to have it within the delay scheduling wait W. Otherwise waiting only delays
+    /// the start (section 3.5.1 of the delay scheduling paper, on long tasks and hotspots).
     bool may_find_image(SchedulingRound& round, const PendingJob& pending) const;
-    /// Whether the machine is fetching another image already: two fetches share its rate, and both
-    /// images would be late.
+    /// Whether the machine is already fetching another image, or will for tasks claimed on it in
+    /// this round: concurrent fetches share its rate, which delays both. `image` is the number of
+    /// the job's image.
     bool is_fetch_contended(const MachineOffer& offer, int image) const;
 
   private:
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -12,20 +12,21 @@
 }
 }  // namespace
 
-bool PendingQueue::Before::operator()(const PendingJob* a, const PendingJob* b) const {
-    // Of equals each controller first takes those that it is the home of: controllers that claim
-    // from the same job at once fail each other.
-    bool a_home = a->shard_rank == 0;
-    bool b_home = b->shard_rank == 0;
-    if (a_home != b_home) {
-        return a_home;
+bool PendingQueue::QueueOrder::operator()(const PendingJob* a, const PendingJob* b) const {
+    // Each controller first takes the jobs of which it is the shard owner: controllers that claim
+    // from the same job at the same time make each other's compare-and-swap writes fail.
+    bool owns_a = a->shard_rank == 0;
+    bool owns_b = b->shard_rank == 0;
+    if (owns_a != owns_b) {
+        return owns_a;
     }
-    // Of those that came together, jobs with one image follow each other, so that they fill
-    // the same machines: images fetched side by side share the rate, and all are late.
-    double a_came = std::floor(a->ready_wall / constants::arrival_window_s);
-    double b_came = std::floor(b->ready_wall / constants::arrival_window_s);
-    return std::tie(a_came, a->image, a->ready_wall, a->uid) <
-           std::tie(b_came, b->image, b->ready_wall, b->uid);
+    // Among jobs that arrived in the same window, those with the same image are adjacent, so that
+    // they fill the same machines: concurrent image fetches share a machine's fetch rate, which
+    // delays all of them.
+    double a_arrival_window = std::floor(a->eligible_wall / constants::arrival_window_s);
+    double b_arrival_window = std::floor(b->eligible_wall / constants::arrival_window_s);
+    return std::tie(a_arrival_window, a->image, a->eligible_wall, a->uid) <
+           std::tie(b_arrival_window, b->image, b->eligible_wall, b->uid);
 }
 
 void PendingQueue::epoch_changed() {
@@ -41,14 +42,14 @@
     }
 }
 
-void PendingQueue::records_changed(const std::set<std::string>& touched) {
+void PendingQueue::records_changed(const std::set<std::string>& changed_uids) {
     if (!is_current()) {
         if (ctx_.jobs.loaded()) {
             rebuild();
         }
         return;
     }
-    for (const auto& uid : touched) {
+    for (const auto& uid : changed_uids) {
         update(uid);
     }
 }
@@ -56,36 +57,36 @@
 void PendingQueue::update(const std::string& uid) {
     const Job* job = ctx_.jobs.find(uid);
     bool is_open = job != nullptr && ctx_.jobs.open_jobs().contains(job);
-    auto known = pending_jobs_.find(uid);
+    auto existing = pending_jobs_.find(uid);
     if (!is_open) {
         remove(uid);
         return;
     }
-    if (known == pending_jobs_.end()) {
+    if (existing == pending_jobs_.end()) {
         add(*job, ctx_.now.steady);
         return;
     }
-    PendingJob& pending = *known->second;
+    PendingJob& pending = *existing->second;
     if (pending.priority != job->spec.priority || pending.job != job) {
-        double pending_since = pending.pending_since;
+        double pending_since_s = pending.pending_since_s;
         remove(uid);
-        add(*job, pending_since);
+        add(*job, pending_since_s);
         return;
     }
     if (job->open() < pending.open_tasks) {
-        pending.last_progress_at = ctx_.now.steady;
+        pending.last_progress_at_s = ctx_.now.steady;
     }
     pending.open_tasks = job->open();
 }
 
-// All records were read anew: what is known here names jobs of the replica before.
+// All records were read anew: the queue still refers to the jobs of the previous replica.
 void PendingQueue::rebuild() {
     replica_loads_ = ctx_.jobs.load_count();
-    auto before = std::exchange(pending_jobs_, {});
+    auto previous = std::exchange(pending_jobs_, {});
     queues_.clear();
     for (const Job* job : ctx_.jobs.open_jobs()) {
-        auto known = before.find(job->spec.uid);
-        add(*job, known == before.end() ? ctx_.now.steady : known->second->pending_since);
+        auto existing = previous.find(job->spec.uid);
+        add(*job, existing == previous.end() ? ctx_.now.steady : existing->second->pending_since_s);
     }
 }
 
@@ -98,7 +99,7 @@
     }
 }
 
-void PendingQueue::add(const Job& job, double pending_since) {
+void PendingQueue::add(const Job& job, double pending_since_s) {
     auto pending = std::make_unique<PendingJob>();
     pending->job = &job;
     pending->uid = job.spec.uid;
@@ -107,18 +108,18 @@
     pending->below_min_share = min_share_deficit(pending->team, pending->job_class) > 0;
     pending->priority = job.spec.priority;
     pending->image = job.spec.image;
-    pending->ready_wall = job.eligible_wall();
-    pending->pending_since = pending_since;
+    pending->eligible_wall = job.eligible_wall();
+    pending->pending_since_s = pending_since_s;
     pending->open_tasks = job.open();
-    pending->last_progress_at = pending_since;
+    pending->last_progress_at_s = pending_since_s;
     pending->shard_rank = shard_rank(job);
     pending->equivalence_class = equivalence_class(job.spec);
     queues_[{pending->team, pending->priority}].insert(pending.get());
     pending_jobs_[pending->uid] = std::move(pending);
 }
 
-// What decides whether a task fits a machine, apart from zone rules that depend on its job's
-// other tasks, as a number: names would be compared over and over.
+// Numbers the demands that decide whether a task fits a machine, without the zone rules that depend
+// on its job's other tasks. Comparing numbers is cheaper than comparing the names each time.
 int PendingQueue::equivalence_class(const JobSpec& spec) {
     auto demands = fmt::format(
         "{}|{}|{}|{}|{}|{}|{}", spec.task_resources.cpus, spec.task_resources.gpus,
@@ -145,8 +146,8 @@
            ctx_.now.steady < job_failures_.pause_until(pending.uid);
 }
 
-// The part of a machine that an amount takes, by the resource of which it takes most (as in
-// dominant resource fairness).
+// The share of a machine that an amount takes, by the resource of which it takes the largest share
+// (as in dominant resource fairness).
 double PendingQueue::dominant_share(const Resources& amount) const {
     if (agents_.types().empty()) {
         return std::max(amount.gpus, amount.cpus);
@@ -155,16 +156,16 @@
     return std::max(fraction(amount.gpus, size.gpus), fraction(amount.cpus, size.cpus));
 }
 
-// By rendezvous hashing. A zone is drawn first, so that each zone's machines get their share
-// whatever the number of members in it.
+// By rendezvous hashing. The zone is chosen first, so that the machines of each zone get their
+// share whatever the number of members in the zone.
 std::size_t PendingQueue::shard_rank(const Job& job) const {
     const auto& epoch = ctx_.jobs.epoch();
     if (!epoch) {
         return 0;
     }
     auto weight_of = [&](const Member& member) {
-        bool in_wanted_zone = job.spec.zone && *job.spec.zone == member.zone;
-        return std::make_tuple(in_wanted_zone, stable_hash(job.spec.uid + "|" + member.zone),
+        bool in_requested_zone = job.spec.zone && *job.spec.zone == member.zone;
+        return std::make_tuple(in_requested_zone, stable_hash(job.spec.uid + "|" + member.zone),
                                stable_hash(job.spec.uid + "|" + member.name));
     };
     auto our_weight = weight_of(ctx_.self);
@@ -173,8 +174,8 @@
                       [&](const Member& member) { return weight_of(member) > our_weight; }));
 }
 
-// The settings carry no weights: a team weighs what it is guaranteed, else 1. Amounts are compared
-// by the resource of which they take most: a team may use CPUs alone.
+// The settings have no weights: a team's weight is its guarantee, or 1 without one. Amounts are
+// compared by their dominant share, since a team may use CPUs alone.
 double PendingQueue::team_weight(const std::string& name) const {
     for (const auto& team : ctx_.settings.teams) {
         if (team.name == name && dominant_share(team.guarantee) > 0) {
@@ -184,7 +185,7 @@
     return 1.0;
 }
 
-// Flows that have tasks to place, without jobs that are likely to fail again.
+// The flows that have tasks to place. Jobs that fail repeatedly don't count.
 std::vector<admission::WaitingFlow> PendingQueue::waiting_flows() const {
     std::map<admission::FlowName, admission::WaitingFlow> flows;
     for (const auto& [uid, pending] : pending_jobs_) {
@@ -194,10 +195,11 @@
         admission::WaitingFlow& flow = flows[{pending->team, pending->job_class}];
         flow.name = {pending->team, pending->job_class};
         flow.best_effort = pending->priority == Priority::best_effort;
-        // A job of which some is placed now and then is served, however long the rest waits: one
-        // huge array of a guest would else go before everybody's work.
+        // A job that gets a task placed from time to time counts as served, however long its other
+        // tasks wait: otherwise one huge array of a team without a guarantee would go before all
+        // other work.
         flow.longest_wait_s =
-            std::max(flow.longest_wait_s, ctx_.now.steady - pending->last_progress_at);
+            std::max(flow.longest_wait_s, ctx_.now.steady - pending->last_progress_at_s);
     }
     std::vector<admission::WaitingFlow> list;
     list.reserve(flows.size());
@@ -222,10 +224,10 @@
 
 PendingQueue::Deficits PendingQueue::find_min_share_deficits() const {
     auto flows = waiting_flows();
-    bool any_late = std::any_of(flows.begin(), flows.end(), [](const auto& flow) {
+    bool any_candidate = std::any_of(flows.begin(), flows.end(), [](const auto& flow) {
         return flow.was_below_min_share || flow.longest_wait_s >= constants::min_share_wait_s;
     });
-    if (!any_late) {
+    if (!any_candidate) {
         return {};
     }
     auto held = machines_held_by_flow();
@@ -244,19 +246,20 @@
 void PendingQueue::log_new_deficits(const Deficits& deficits) const {
     for (const auto& [name, deficit] : deficits) {
         if (!min_share_deficits_.contains(name)) {
-            ctx_.info("flow {} of {}: {:.1f} machines below its floor, goes ahead", name.second,
-                      name.first, deficit);
+            ctx_.info(
+                "class {} of team {}: {:.1f} machines below its minimum share, scheduled first",
+                name.second, name.first, deficit);
         }
     }
 }
 
-// Guards against a class that waits for as long as others of its team, or of teams further below
-// their guarantee, ask for all room there is: within a team priority alone would decide.
+// Prevents the starvation of a class while other classes of its team, or teams further below their
+// guarantee, ask for all free room: within a team priority alone would decide.
 void PendingQueue::tick() {
-    if (!is_current() || ctx_.now.steady < next_min_share_check_at_) {
+    if (!is_current() || ctx_.now.steady < next_min_share_check_at_s_) {
         return;
     }
-    next_min_share_check_at_ = ctx_.now.steady + constants::min_share_check_interval_s;
+    next_min_share_check_at_s_ = ctx_.now.steady + constants::min_share_check_interval_s;
     Deficits deficits = find_min_share_deficits();
     log_new_deficits(deficits);
     bool may_have_changed = !deficits.empty() || !min_share_deficits_.empty();
@@ -269,8 +272,8 @@
     }
 }
 
-std::map<std::string, PendingQueue::TeamStanding> PendingQueue::team_standings() const {
-    std::map<std::string, TeamStanding> standings;
+std::map<std::string, PendingQueue::TeamShare> PendingQueue::team_shares() const {
+    std::map<std::string, TeamShare> shares;
     for (const auto& team : ctx_.settings.teams) {
         const Resources& used = ctx_.jobs.used(team.name);
         const Resources& guarantee = team.guarantee;
@@ -278,20 +281,21 @@
         double cpu_deficit = guarantee.cpus > 0 ? 1 - fraction(used.cpus, guarantee.cpus) : 0;
         double deficit = std::max(gpu_deficit, cpu_deficit);
         bool is_below = deficit > Resources::rounding_tolerance;
-        double need = is_below ? -deficit : dominant_share(used) / team_weight(team.name);
-        standings[team.name] = {!is_below, need};
+        double fair_share_key = is_below ? -deficit : dominant_share(used) / team_weight(team.name);
+        shares[team.name] = {!is_below, fair_share_key};
     }
-    return standings;
+    return shares;
 }
 
-// Teams below their guarantee first, the furthest first, others by share over weight; best-effort
-// work beyond a guarantee after everybody else's. In a team by priority.
+// Teams below their guarantee come first, the furthest below first, then the others by share over
+// weight; best-effort work of teams that aren't below their guarantee comes last. Within a team the
+// order is by priority.
 std::vector<const PendingQueue::Queue*> PendingQueue::queues_in_order(bool is_write_limited) const {
     struct Rank {
-        bool is_leftover_work = false;
+        bool is_unguaranteed_best_effort = false;
         bool above_guarantee = true;
         bool after_production = false;
-        double need = 0;
+        double fair_share_key = 0;
         std::string team;
         Priority priority = Priority::normal;
         const Queue* queue = nullptr;
@@ -299,7 +303,7 @@
     if (!is_current()) {
         return {};
     }
-    auto standings = team_standings();
+    auto shares = team_shares();
     std::vector<Rank> ranks;
     for (const auto& [key, queue] : queues_) {
         if (queue.empty()) {
@@ -309,19 +313,21 @@
         rank.team = key.team;
         rank.priority = key.priority;
         rank.queue = &queue;
-        if (auto found = standings.find(key.team); found != standings.end()) {
+        if (auto found = shares.find(key.team); found != shares.end()) {
             rank.above_guarantee = found->second.above_guarantee;
-            rank.need = found->second.need;
+            rank.fair_share_key = found->second.fair_share_key;
         }
-        rank.is_leftover_work = key.priority == Priority::best_effort && rank.above_guarantee;
+        rank.is_unguaranteed_best_effort =
+            key.priority == Priority::best_effort && rank.above_guarantee;
         rank.after_production =
             is_write_limited && !rank.above_guarantee && key.priority != Priority::production;
         ranks.push_back(std::move(rank));
     }
     std::sort(ranks.begin(), ranks.end(), [](const Rank& a, const Rank& b) {
-        return std::tie(a.is_leftover_work, a.above_guarantee, a.after_production, a.need, a.team,
-                        b.priority) < std::tie(b.is_leftover_work, b.above_guarantee,
-                                               b.after_production, b.need, b.team, a.priority);
+        return std::tie(a.is_unguaranteed_best_effort, a.above_guarantee, a.after_production,
+                        a.fair_share_key, a.team, b.priority) <
+               std::tie(b.is_unguaranteed_best_effort, b.above_guarantee, b.after_production,
+                        b.fair_share_key, b.team, a.priority);
     });
     std::vector<const Queue*> queues;
     queues.reserve(ranks.size());
--- a/src/core/scheduling/placement_constraints.cpp
+++ b/src/core/scheduling/placement_constraints.cpp
@@ -43,10 +43,11 @@
         return false;
     }
     if (spec.same_zone && spec.kind != JobKind::gang && job.record_count() > 1) {
-        // Claims on different blocks don't see each other: a fixed zone keeps them together.
+        // Concurrent claims on different blocks don't see each other's placements: a zone derived
+        // from the job's uid keeps all of them in the same zone.
         const auto& zones = ctx_.settings.zones;
-        std::size_t pick = stable_hash(spec.uid) % std::max<std::size_t>(1, zones.size());
-        return !spec.zone && pick < zones.size() ? zones[pick] == machine.zone : true;
+        std::size_t zone_index = stable_hash(spec.uid) % std::max<std::size_t>(1, zones.size());
+        return !spec.zone && zone_index < zones.size() ? zones[zone_index] == machine.zone : true;
     }
     bool in_zone = true;
     if (spec.same_zone) {
@@ -63,10 +64,10 @@
     if (!job.spec.zone_spread) {
         return size;
     }
-    // Blocks are of even size, all but the last: if each keeps to half of its own tasks, rounded
-    // up, then so does the job. That lets a claim be checked under its own block's revision.
-    // Pages are looked at together, as the record that they were made from: each alone may hold
-    // more than its half already.
+    // All blocks but the last have an even number of tasks: if each block keeps to half of its own
+    // tasks, rounded up, then so does the job. A claim can therefore be checked under the revision
+    // of its own block. The pages of a split block record are counted together, as that record: a
+    // single page may already hold more than its own half.
     int last = job.block_last(block);
     if (job.page_size > 0) {
         first = first / job.block_record_size * job.block_record_size;
@@ -74,8 +75,8 @@
         size = last - first + 1;
     }
     int placed_in_zone = 0;
-    for (int other = job.block_of(first); other <= job.block_of(last); ++other) {
-        for (const auto& [task, placement] : job.block(other).placed) {
+    for (int index = job.block_of(first); index <= job.block_of(last); ++index) {
+        for (const auto& [task, placement] : job.block(index).placed) {
             placed_in_zone += placement.zone == zone && task >= first && task <= last ? 1 : 0;
         }
     }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -4,202 +4,208 @@
 
 namespace cranemoor::core {
 
-void Preemption::records_changed(const std::set<std::string>& touched) {
-    for (const auto& uid : touched) {
+void Preemption::records_changed(const std::set<std::string>& changed_uids) {
+    for (const auto& uid : changed_uids) {
         const Job* job = ctx_.jobs.find(uid);
         if (job == nullptr || job->open() == 0) {
-            preempted_at_.erase(uid);
+            preempted_at_s_.erase(uid);
         }
     }
 }
 
 void Preemption::tick() {
-    if (ctx_.is_member && membership_.has_store_contact() && ctx_.now.steady >= next_look_) {
-        next_look_ = ctx_.now.steady + constants::preemption_interval_s *
-                                           pending_queue_.round_interval_factor(
-                                               constants::preemption_slowdown_factor_max);
-        look();
+    if (ctx_.is_member && membership_.has_store_contact() && ctx_.now.steady >= next_search_at_s_) {
+        next_search_at_s_ = ctx_.now.steady + constants::preemption_interval_s *
+                                                  pending_queue_.round_interval_factor(
+                                                      constants::preemption_slowdown_factor_max);
+        preempt_for_pending_jobs();
     }
 }
 
-bool Preemption::below_guarantee(const std::string& name, const Resources& more) const {
-    const Team* t = quota_.team(name);
-    if (t == nullptr) {
+bool Preemption::within_guarantee(const std::string& name, const Resources& additional) const {
+    const Team* team = quota_.team(name);
+    if (team == nullptr) {
         return false;
     }
-    Resources sum = ctx_.jobs.used(name) + more;
-    bool cpus =
-        t->guarantee.cpus <= 0 || sum.cpus <= t->guarantee.cpus + Resources::rounding_tolerance;
-    bool gpus =
-        t->guarantee.gpus <= 0 || sum.gpus <= t->guarantee.gpus + Resources::rounding_tolerance;
-    return (t->guarantee.cpus > 0 || t->guarantee.gpus > 0) && cpus && gpus;
+    Resources total = ctx_.jobs.used(name) + additional;
+    bool cpus_within = team->guarantee.cpus <= 0 ||
+                       total.cpus <= team->guarantee.cpus + Resources::rounding_tolerance;
+    bool gpus_within = team->guarantee.gpus <= 0 ||
+                       total.gpus <= team->guarantee.gpus + Resources::rounding_tolerance;
+    return (team->guarantee.cpus > 0 || team->guarantee.gpus > 0) && cpus_within && gpus_within;
 }
 
-bool Preemption::may_preempt(const Job& job, const Job& victim, double waited) const {
+bool Preemption::may_preempt(const Job& job, const Job& victim, double waited_s) const {
     if (pending_queue_.min_share_deficit(victim.spec.team, victim.spec.job_class) > 0) {
-        return false;  // it has less than its floor
+        return false;  // the victim's flow is below its own minimum share
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
         (!GangPreemption::would_save(victim) || victim.gang_stop_requested() ||
-         waited < constants::gang_victim_wait_s)) {
-        return false;  // all of it would have to be stopped with the one task that is in the way
+         waited_s < constants::gang_victim_wait_s)) {
+        return false;  // a gang can only be stopped whole, not just the task that is in the way
     }
     if (victim.spec.priority < job.spec.priority) {
-        // Whole machines are costly to clear: a gang first waits for one to be free or rented.
-        return job.spec.kind != JobKind::gang || waited > constants::gang_preemption_wait_s;
+        // Clearing a whole machine is costly: a gang first waits for one to become free or to be
+        // launched.
+        return job.spec.kind != JobKind::gang || waited_s > constants::gang_preemption_wait_s;
     }
-    // The paper's minimum share timeout: work that another team runs beyond its own guarantee.
-    return victim.spec.team != job.spec.team && waited > ctx_.tunables.min_share_timeout_s &&
+    // The minimum share timeout of the paper: a team below its guarantee preempts work that another
+    // team runs beyond its own.
+    return victim.spec.team != job.spec.team && waited_s > ctx_.tunables.min_share_timeout_s &&
            victim.spec.priority != Priority::production &&
-           below_guarantee(job.spec.team, job.spec.task_resources) &&
-           !below_guarantee(victim.spec.team, {});
+           within_guarantee(job.spec.team, job.spec.task_resources) &&
+           !within_guarantee(victim.spec.team, {});
 }
 
-std::optional<Preemption::Victims> Preemption::victims_on(Machine& m, const Job& job,
-                                                          double waited) const {
-    Victims v;
-    v.machine = &m;
-    v.local = AgentRegistry::has_image(m, agents_.image_number(job.spec.image));
+std::optional<Preemption::Victims> Preemption::find_victims(Machine& machine, const Job& job,
+                                                            double waited_s) const {
+    Victims victims;
+    victims.machine = &machine;
+    victims.has_image = AgentRegistry::has_image(machine, agents_.image_number(job.spec.image));
     std::vector<std::tuple<double, TaskId, const Job*>> candidates;
-    for (const auto& [id, on] : agents_.site(m).tasks) {
-        const Job* other = on.job;
-        if (!other->cancelled && may_preempt(job, *other, waited)) {
-            double ran = ctx_.now.steady - agents_.placed_at(id);
-            // What has a checkpoint loses little, however long it ran.
-            double lost =
-                other->spec.checkpoint_s > 0 ? std::min(ran, other->spec.checkpoint_s) : ran;
-            if (other->spec.kind == JobKind::gang && other->spec.tasks > 1) {
-                lost = gang_preemption_.cost_s(*other);
+    for (const auto& [id, placed] : agents_.site(machine).tasks) {
+        const Job* victim = placed.job;
+        if (!victim->cancelled && may_preempt(job, *victim, waited_s)) {
+            double ran_s = ctx_.now.steady - agents_.placed_at(id);
+            // A job that checkpoints loses at most one checkpoint interval, however long it ran.
+            double lost_s =
+                victim->spec.checkpoint_s > 0 ? std::min(ran_s, victim->spec.checkpoint_s) : ran_s;
+            if (victim->spec.kind == JobKind::gang && victim->spec.tasks > 1) {
+                lost_s = gang_preemption_.cost_s(*victim);
             }
-            candidates.emplace_back(lost, id, other);
+            candidates.emplace_back(lost_s, id, victim);
         }
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const auto& a, const auto& b) { return std::get<0>(a) < std::get<0>(b); });
-    Resources room = agents_.room(m);
-    for (const auto& [lost, id, other] : candidates) {
+    Resources room = agents_.room(machine);
+    for (const auto& [lost_s, id, victim] : candidates) {
         if (job.spec.task_resources.fits_in(room)) {
             break;
         }
-        room += other->spec.task_resources;
-        v.tasks.push_back(id);
-        v.lost_s += lost;
+        room += victim->spec.task_resources;
+        victims.tasks.push_back(id);
+        victims.lost_s += lost_s;
     }
-    if (v.tasks.empty() || !job.spec.task_resources.fits_in(room)) {
+    if (victims.tasks.empty() || !job.spec.task_resources.fits_in(room)) {
         return std::nullopt;
     }
-    return v;
+    return victims;
 }
 
-void Preemption::stop(Machine& m, const Job& job, const TaskId& id) {
-    const Placement* p = ctx_.jobs.placement(id);
+void Preemption::stop_victim(Machine& machine, const Job& job, const TaskId& id) {
+    const Placement* placement = ctx_.jobs.placement(id);
     const Job* victim = ctx_.jobs.find(id.uid);
-    if (p == nullptr || victim == nullptr) {
+    if (placement == nullptr || victim == nullptr) {
         return;
     }
     if (victim->spec.kind != JobKind::gang || victim->spec.tasks == 1) {
-        task_stops_.stop(m, {id, p->attempt}, 0);
+        task_stops_.stop(machine, {id, placement->attempt}, 0);
         return;
     }
-    // The room is there only when the gang has saved.
-    gang_preemption_.request_preemption(*victim, "makes room for " + job.spec.uid);
-    double saved = victim->spec.save_s + ctx_.settings.gang_stop_window_s;
-    scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preemption_cooldown_s);
+    // The room becomes free only after the gang has saved its checkpoint.
+    gang_preemption_.request_preemption(*victim, "preempted for job " + job.spec.uid);
+    double save_time_s = victim->spec.save_s + ctx_.settings.gang_stop_window_s;
+    scheduler_.reservations().reserve(machine.name, job.spec,
+                                      save_time_s + constants::preemption_cooldown_s);
 }
 
-void Preemption::look() {
-    int looked = 0;
-    pending_queue_.for_each_in_order(scheduler_.is_write_limited(), [&](const PendingJob& waiting) {
-        if (may_look(waiting)) {
-            ++looked;
-            make_room(waiting);
+void Preemption::preempt_for_pending_jobs() {
+    int jobs_searched = 0;
+    pending_queue_.for_each_in_order(scheduler_.is_write_limited(), [&](const PendingJob& pending) {
+        if (may_preempt_for(pending)) {
+            ++jobs_searched;
+            make_room(pending);
         }
-        return looked < constants::preemption_jobs_per_round_max;
+        return jobs_searched < constants::preemption_jobs_per_round_max;
     });
 }
 
-bool Preemption::may_look(const PendingJob& waiting) const {
-    const Job& job = *waiting.job;
-    const JobSpec& s = job.spec;
-    double stagger = constants::preemption_cooldown_s * static_cast<double>(waiting.shard_rank);
-    double waited = ctx_.now.steady - waiting.pending_since;
-    if (waited < stagger || waited < constants::preemption_wait_s) {
-        return false;  // its first member makes room, the others only if it has none to make
-    }
-    if ((s.tasks > 1 && s.kind == JobKind::gang) || job.fails_repeatedly()) {
+bool Preemption::may_preempt_for(const PendingJob& pending) const {
+    const Job& job = *pending.job;
+    const JobSpec& spec = job.spec;
+    double stagger_s = constants::preemption_cooldown_s * static_cast<double>(pending.shard_rank);
+    double waited_s = ctx_.now.steady - pending.pending_since_s;
+    if (waited_s < stagger_s || waited_s < constants::preemption_wait_s) {
+        return false;  // the shard owner preempts first, other controllers only if it can't
+    }
+    if ((spec.tasks > 1 && spec.kind == JobKind::gang) || job.fails_repeatedly()) {
         return false;
     }
-    if (s.priority <= Priority::normal && !below_guarantee(s.team, s.task_resources)) {
+    if (spec.priority <= Priority::normal && !within_guarantee(spec.team, spec.task_resources)) {
         return false;
     }
-    auto recent = preempted_at_.find(s.uid);
-    bool pause = recent != preempted_at_.end() &&
-                 ctx_.now.steady - recent->second < constants::preemption_cooldown_s;
-    return !pause && quota_.within_limit(s.team, s.task_resources);
+    auto last_preemption = preempted_at_s_.find(spec.uid);
+    bool is_cooling_down =
+        last_preemption != preempted_at_s_.end() &&
+        ctx_.now.steady - last_preemption->second < constants::preemption_cooldown_s;
+    return !is_cooling_down && quota_.within_limit(spec.team, spec.task_resources);
 }
 
-// Whether a task of the block may run on the machine once there is room. Room made for one job
-// serves no second one.
-bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
-    return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
-           scheduler_.constraints().allows(job, m) && !agents_.site(m).cordon &&
-           !scheduler_.reservations().is_reserved_for_other(m.name, job.spec.uid) &&
-           PlacementConstraints::spread_allowance(job, block, m.zone) > 0;
+// Whether a task of the block may run on the machine once it has room. Room that is made for one
+// job isn't used for another.
+bool Preemption::may_run_on(const Job& job, int block, const Machine& machine) const {
+    return machine.up() && !machine.interruption_deadline && !machine.release_mark_pending &&
+           !machine.release_confirmed && scheduler_.constraints().allows(job, machine) &&
+           !agents_.site(machine).cordon &&
+           !scheduler_.reservations().is_reserved_for_other(machine.name, job.spec.uid) &&
+           PlacementConstraints::spread_allowance(job, block, machine.zone) > 0;
 }
 
-// Stops what loses least, where it helps the job most.
-void Preemption::make_room(const PendingJob& waiting) {
-    const Job& job = *waiting.job;
-    const JobSpec& s = job.spec;
-    double waited = ctx_.now.steady - waiting.pending_since;
-    preempted_at_[s.uid] = ctx_.now.steady;
-    int image = agents_.image_number(s.image);
+// Stops the tasks that lose least, if possible on a machine with the job's image.
+void Preemption::make_room(const PendingJob& pending) {
+    const Job& job = *pending.job;
+    const JobSpec& spec = job.spec;
+    double waited_s = ctx_.now.steady - pending.pending_since_s;
+    preempted_at_s_[spec.uid] = ctx_.now.steady;
+    int image = agents_.image_number(spec.image);
     int block = 0;
     while (block + 1 < job.block_count() && !job.first_open(block)) {
         ++block;
     }
-    // Room that is there already, or a machine that has it without the image.
-    bool room = false;
-    bool local_room = false;
+    // Whether some machine has room already, and whether one of these has the job's image.
+    bool has_room = false;
+    bool has_room_with_image = false;
     std::optional<Victims> best;
-    bool fetch_counts = s.priority == Priority::production && s.image_gb > 0;
-    for (Machine* each : agents_.all()) {
-        Machine& m = *each;
-        bool fits = s.task_resources.fits_in(agents_.room(m));
-        bool local = AgentRegistry::has_image(m, image);
-        // Most machines are left out by what costs least to see.
-        bool better = m.owned_by_us && (!best || local || !best->local);
-        if (!(fits || better) || !may_serve(job, block, m)) {
+    bool fetch_matters = spec.priority == Priority::production && spec.image_gb > 0;
+    for (Machine* candidate : agents_.all()) {
+        Machine& machine = *candidate;
+        bool fits = spec.task_resources.fits_in(agents_.room(machine));
+        bool has_image = AgentRegistry::has_image(machine, image);
+        // The cheapest checks come first, since they rule out most machines.
+        bool may_be_better = machine.owned_by_us && (!best || has_image || !best->has_image);
+        if (!(fits || may_be_better) || !may_run_on(job, block, machine)) {
             continue;
         }
         if (fits) {
-            room = true;
-            local_room = local_room || local;
-            if (local_room || !fetch_counts) {
+            has_room = true;
+            has_room_with_image = has_room_with_image || has_image;
+            if (has_room_with_image || !fetch_matters) {
                 return;
             }
             continue;
         }
-        if (!agents_.usable(m)) {
+        if (!agents_.usable(machine)) {
             continue;
         }
-        auto v = victims_on(m, job, waited);
-        if (v && (!best || std::make_tuple(!v->local, v->lost_s) <
-                               std::make_tuple(!best->local, best->lost_s))) {
-            best = v;
+        auto victims = find_victims(machine, job, waited_s);
+        if (victims && (!best || std::make_tuple(!victims->has_image, victims->lost_s) <
+                                     std::make_tuple(!best->has_image, best->lost_s))) {
+            best = victims;
         }
     }
-    // Room without the image costs a production job its fetch time: less than that is lost
-    // by stopping a newer, lower task where the image is.
-    bool fetch_hurts = fetch_counts && best && best->local;
-    if (!best || (room && !fetch_hurts)) {
+    // Room on a machine without the image costs a production job the fetch time. Stopping a newer
+    // task of lower priority on a machine with the image loses less than that.
+    bool avoids_fetch = fetch_matters && best && best->has_image;
+    if (!best || (has_room && !avoids_fetch)) {
         return;
     }
-    Machine& m = *best->machine;
-    scheduler_.reservations().reserve(m.name, s, constants::preemption_cooldown_s);
-    ctx_.info("preempt {} tasks on {} for {}", best->tasks.size(), m.name, s.uid);
+    Machine& machine = *best->machine;
+    scheduler_.reservations().reserve(machine.name, spec, constants::preemption_cooldown_s);
+    ctx_.info("preempting {} tasks on machine {} for job {}", best->tasks.size(), machine.name,
+              spec.uid);
     for (const auto& id : best->tasks) {
-        stop(m, job, id);
+        stop_victim(machine, job, id);
     }
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -94,7 +94,7 @@
         is_batched ? 0 : constants::shard_stagger_s * static_cast<double>(pending.shard_rank);
     bool is_of_other_owner =
         is_batched && job.block_count() == 1 && !batched_claims_.may_claim(job, 0);
-    return !is_of_other_owner && ctx_.now.steady - pending.pending_since >= stagger_s;
+    return !is_of_other_owner && ctx_.now.steady - pending.pending_since_s >= stagger_s;
 }
 
 // Filter, score, claim.
@@ -217,7 +217,7 @@
         delay_scheduling_.skip(spec.uid);
         return true;  // it has room: nothing needs to be reserved for it
     }
-    if (!gang_placement_.enter_places(job, places, blocks)) {
+    if (!gang_placement_.add_placements(job, places, blocks)) {
         ctx_.jobs_to_split.insert(spec.uid);  // its blocks are of the version before
         return true;
     }
