--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -19,14 +19,14 @@
 }
 
 void AdmissionTableSync::tick() {
-    double t = ctx_.now.steady;
-    if (!ctx_.is_member || t < next_tick_s_) {
+    double now = ctx_.now.steady;
+    if (!ctx_.is_member || now < next_tick_s_) {
         return;
     }
-    next_tick_s_ = t + constants::overload_check_interval_s;
-    if (t >= next_pressure_log_s_) {
-        next_pressure_log_s_ = t + constants::overload_log_interval_s;
-        ctx_.info("pressure: {}", ctx_.overload.take_words(t));
+    next_tick_s_ = now + constants::overload_check_interval_s;
+    if (now >= next_load_log_s_) {
+        next_load_log_s_ = now + constants::overload_log_interval_s;
+        ctx_.info("write load: {}", ctx_.overload.take_words(now));
     }
     if (membership_.is_leader() && membership_.has_store_contact() &&
         ctx_.upgraded(current_feature_level)) {
@@ -35,69 +35,71 @@
 }
 
 void AdmissionTableSync::update_table() {
-    double t = ctx_.now.steady;
-    OverloadSample mine = ctx_.overload.sample(t);
-    double wait = mine.write_wait_s;
-    double writes = mine.writes_per_s;
-    for (const auto& [name, h] : samples_by_peer_) {
-        if (t - h.at < constants::peer_heartbeat_ttl_s) {
-            wait = std::max(wait, h.sample.write_wait_s);
-            writes += h.sample.writes_per_s;
+    double now = ctx_.now.steady;
+    OverloadSample own_sample = ctx_.overload.sample(now);
+    double write_wait_s = own_sample.write_wait_s;
+    double writes_per_s = own_sample.writes_per_s;
+    for (const auto& [name, received] : samples_by_peer_) {
+        if (now - received.received_at < constants::peer_heartbeat_ttl_s) {
+            write_wait_s = std::max(write_wait_s, received.sample.write_wait_s);
+            writes_per_s += received.sample.writes_per_s;
         }
     }
-    const auto& old = ctx_.jobs.admission_table();
-    admission::Table next = old.value_or(admission::Table{});
-    bool was = next.shared;
-    write_scarcity_.set(was);
-    next.shared = write_scarcity_.look(t, wait, writes / ctx_.settings.store_writes_per_s);
-    if (!next.shared && !was) {
+    const auto& current = ctx_.jobs.admission_table();
+    admission::Table next = current.value_or(admission::Table{});
+    bool was_shared = next.shared;
+    write_scarcity_.set(was_shared);
+    next.shared =
+        write_scarcity_.look(now, write_wait_s, writes_per_s / ctx_.settings.store_writes_per_s);
+    if (!next.shared && !was_shared) {
         return;
     }
-    if (next.shared == was && t < next_refresh_s_) {
+    if (next.shared == was_shared && now < next_refresh_s_) {
         return;
     }
-    next.parts = controller_parts();
-    if (next.shared != was || parts_differ(next.parts)) {
+    next.parts = controller_weights();
+    if (next.shared != was_shared || weights_differ(next.parts)) {
         write_table(std::move(next));
     }
 }
 
-// By the machines that each member owns: what it can place.
-std::map<std::uint64_t, admission::Part> AdmissionTableSync::controller_parts() const {
-    std::map<std::uint64_t, int> machines;
-    for (const auto& m : ctx_.jobs.epoch()->members) {
-        machines[m.id] = 0;
+// Weights by controller id: the number of usable machines that the controller owns, at least 1.
+std::map<std::uint64_t, admission::Part> AdmissionTableSync::controller_weights() const {
+    std::map<std::uint64_t, int> machine_counts;
+    for (const auto& member : ctx_.jobs.epoch()->members) {
+        machine_counts[member.id] = 0;
     }
-    for (const auto& [name, m] : agents_.machines()) {
-        const Member* owner = membership_.owner(name, m.zone);
-        if (owner != nullptr && agents_.in_use(m)) {
-            machines[owner->id]++;
+    for (const auto& [name, machine] : agents_.machines()) {
+        const Member* owner = membership_.owner(name, machine.zone);
+        if (owner != nullptr && agents_.in_use(machine)) {
+            machine_counts[owner->id]++;
         }
     }
-    std::map<std::uint64_t, admission::Part> parts;
-    for (const auto& [id, n] : machines) {
-        parts[id] = {std::max(1, n)};
+    std::map<std::uint64_t, admission::Part> weights;
+    for (const auto& [id, count] : machine_counts) {
+        weights[id] = {std::max(1, count)};
     }
-    return parts;
+    return weights;
 }
 
-// Whether the table's parts are so far from what they should be that a write is worth it.
-bool AdmissionTableSync::parts_differ(
+// Whether the table's weights differ enough from the wanted ones to be worth a write.
+bool AdmissionTableSync::weights_differ(
     const std::map<std::uint64_t, admission::Part>& wanted) const {
-    const auto& old = ctx_.jobs.admission_table()->parts;
-    auto sum = [](const auto& all) {
-        double s = 0;
-        for (const auto& [id, part] : all) {
-            s += part.weight;
+    const auto& current = ctx_.jobs.admission_table()->parts;
+    auto total_weight = [](const auto& parts) {
+        double total = 0;
+        for (const auto& [id, part] : parts) {
+            total += part.weight;
         }
-        return std::max(1.0, s);
+        return std::max(1.0, total);
     };
-    double now = sum(wanted);
-    double then = sum(old);
-    return std::any_of(wanted.begin(), wanted.end(), [&](const auto& p) {
-        auto o = old.find(p.first);
-        double before = o == old.end() ? 0 : o->second.weight / then;
-        return std::abs(p.second.weight / now - before) > constants::admission_share_change_min;
+    double wanted_total = total_weight(wanted);
+    double current_total = total_weight(current);
+    return std::any_of(wanted.begin(), wanted.end(), [&](const auto& entry) {
+        auto found = current.find(entry.first);
+        double current_share = found == current.end() ? 0 : found->second.weight / current_total;
+        return std::abs(entry.second.weight / wanted_total - current_share) >
+               constants::admission_share_change_min;
     });
 }
 
@@ -105,8 +107,8 @@
     if (write_in_flight_) {
         return;
     }
-    const auto& old = ctx_.jobs.admission_table();
-    next.number = old ? old->number + 1 : 1;
+    const auto& current = ctx_.jobs.admission_table();
+    next.number = current ? current->number + 1 : 1;
     Txn txn;
     txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition(),
@@ -114,10 +116,11 @@
     txn.writes = {{keys::admission_table, encode(next)}};
     write_in_flight_ = true;
     next_refresh_s_ = ctx_.now.steady + constants::admission_table_write_interval_s;
-    ctx_.info("admission table {}: records {}", next.number,
-              next.shared ? "shared, writes are short" : "by block again");
-    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
-        ctx_.when_settled(r, [this] { write_in_flight_ = false; });
+    ctx_.info("writing admission table {}: {}", next.number,
+              next.shared ? "writes scarce, array claims and task exits go to claim batches"
+                          : "writes no longer scarce, claims and task exits go to block records");
+    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this] { write_in_flight_ = false; });
     });
 }
 
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -1,7 +1,7 @@
-// Admission table sync: every controller sends its write-pressure samples to its peers; the leader
-// combines them, decides whether writes are scarce (so that claims are batched, see
-// `BatchedClaims`) and how many machines each controller owns, and writes the admission table
-// (`keys::admission_table`) that all controllers enforce.
+/// Admission table sync: every controller sends samples of its write load to its peers. From these
+/// the leader decides whether writes are scarce (claims are then batched, see `BatchedClaims`),
+/// counts the machines that each controller owns, and writes the admission table
+/// (`keys::admission_table`) that all controllers enforce.
 #pragma once
 
 #include <map>
@@ -15,39 +15,40 @@
 
 namespace cranemoor::core {
 
+/// Collects write load samples and, on the leader, keeps the admission table up to date.
 class AdmissionTableSync {
   public:
-    /// `membership` tells whether this controller leads; `agents` which machines each controller
-    /// owns.
+    /// `membership` tells which controller leads and which one owns each machine, `agents` which
+    /// machines there are. All arguments must outlive this object.
     AdmissionTableSync(Context& ctx, const Membership& membership, const AgentRegistry& agents);
 
-    /// Keeps the latest pressure sample received from controller `peer` (by name).
+    /// Stores the latest write load sample of controller `peer` (by name).
     void on_overload_sample(const std::string& peer, const OverloadSample& sample);
-    /// Every `constants::overload_check_interval_s` seconds: logs the pressure summary and, on the
-    /// leader, rewrites the admission table when scarcity or the owned-machine shares changed
-    /// enough.
+    /// Called once per controller tick. Every `constants::overload_check_interval_s` the leader
+    /// rewrites the admission table if scarcity or the controllers' weights changed enough, and
+    /// every `constants::overload_log_interval_s` each controller logs its write load.
     void tick();
 
   private:
     struct PeerSample {
         OverloadSample sample;
-        double at = -1e9;  // steady time it was received
+        double received_at = -1e9;  // steady time, in seconds
     };
 
     void update_table();
     void write_table(admission::Table next);
-    std::map<std::uint64_t, admission::Part> controller_parts() const;
-    bool parts_differ(const std::map<std::uint64_t, admission::Part>& wanted) const;
+    std::map<std::uint64_t, admission::Part> controller_weights() const;
+    bool weights_differ(const std::map<std::uint64_t, admission::Part>& wanted) const;
 
     Context& ctx_;
     const Membership& membership_;
     const AgentRegistry& agents_;
-    std::map<std::string, PeerSample> samples_by_peer_;  // by member's name
-    admission::HysteresisSwitch write_scarcity_;         // hysteresis on whether writes are scarce
+    std::map<std::string, PeerSample> samples_by_peer_;  // by controller name
+    admission::HysteresisSwitch write_scarcity_;         // whether writes are scarce
     bool write_in_flight_ = false;
-    double next_tick_s_ = 0;          // steady times, in seconds
-    double next_refresh_s_ = 0;       // of the next rewrite of an unchanged table
-    double next_pressure_log_s_ = 0;  // of the next "pressure:" log line
+    double next_tick_s_ = 0;      // steady time of the next check, in seconds
+    double next_refresh_s_ = 0;   // of the next rewrite without a change of scarcity
+    double next_load_log_s_ = 0;  // of the next log line about the write load
 };
 
 }  // namespace cranemoor::core
