--- a/src/core/scheduling/delay_scheduling.cpp
+++ b/src/core/scheduling/delay_scheduling.cpp
@@ -38,8 +38,8 @@
     const MachineType* type = agents_.type(machine.type);
     double fetch_s =
         type != nullptr && type->fetch_gb_per_s > 0 ? spec.image_gb / type->fetch_gb_per_s : 0;
-    // The wait is lost for sure, what it may save is the fetch, and that is a chance: it pays only
-    // while it is short beside the fetch, except for a better machine.
+    // The wait is a certain loss, while the fetch that it may save is only a possible gain: waiting
+    // pays only while the wait is short compared with the fetch, except for a better machine.
     double wait_s =
         std::min(ctx_.tunables.locality_wait_s, fetch_s * constants::locality_wait_fetch_share);
     return fetch_contended
