--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -6,40 +6,41 @@
 namespace cranemoor::core {
 
 namespace {
-// Writes that the next claim may bring: a block and a quota record.
-constexpr std::size_t writes_of_next_claim = 2;
-// Conditions that a transaction of a batched record gets when it is sent: the epoch, the admission
-// table and the record itself.
-constexpr std::size_t conditions_of_batched_record = 3;
+// Writes that one more claim may add to a transaction: a block record and a quota record.
+constexpr std::size_t claim_writes_max = 2;
+// Conditions that are added to the transaction of a claim batch when it is sent: on the epoch, the
+// admission table and the claim batch itself.
+constexpr std::size_t claim_batch_conditions = 3;
 }  // namespace
 
 Resources ClaimWriter::claimed_on(const std::string& machine) const {
-    auto found = claimed_.find(machine);
-    return found == claimed_.end() ? Resources{} : found->second;
+    auto found = claimed_by_machine_.find(machine);
+    return found == claimed_by_machine_.end() ? Resources{} : found->second;
 }
 
-bool ClaimWriter::is_in_doubt(const std::string& block_key) const {
+bool ClaimWriter::has_unresolved_claim(const std::string& block_key) const {
     return std::any_of(unknown_outcomes_.begin(), unknown_outcomes_.end(), [&](const Claim& claim) {
-        return claim.key == block_key && is_undecided(claim);
+        return claim.key == block_key && is_unresolved(claim);
     });
 }
 
-// Whether a claim's conditions still hold, so that it may yet be carried out.
-bool ClaimWriter::is_undecided(const Claim& claim) const {
+// Whether a claim's conditions still hold, so that it may still be applied.
+bool ClaimWriter::is_unresolved(const Claim& claim) const {
     return ctx_.jobs.revision_of(claim.key) == claim.revision &&
            ctx_.jobs.revision_of(keys::epoch) == claim.epoch;
 }
 
 bool ClaimWriter::cover_quota(ClaimTarget target, const std::string& team,
                               const Resources& amount) {
-    Txn& txn = target == ClaimTarget::batched_record ? batched_entries_.txn : block_claims_.txn;
+    Txn& txn =
+        target == ClaimTarget::claim_batch ? batched_transaction_.txn : block_transaction_.txn;
     return quota_.cover(team, amount, txn);
 }
 
 void ClaimWriter::add_block_claim(const Job& job, const std::map<int, Block>& blocks,
                                   const std::vector<std::string>& machines, int tasks) {
-    Txn& txn = block_claims_.txn;
-    std::vector<std::string>& block_keys = block_claims_.in_flight.block_keys;
+    Txn& txn = block_transaction_.txn;
+    std::vector<std::string>& block_keys = block_transaction_.in_flight.block_keys;
     for (auto& condition : JobStore::live_conditions(job)) {
         txn.conditions.push_back(std::move(condition));
     }
@@ -52,16 +53,16 @@
         ++blocks_in_flight_;
     }
     if (job.page_size > 0 && (job.spec.zone_spread || job.spec.same_zone)) {
-        // Whether the place is allowed depends on the tasks of the other pages.
+        // Whether these placements are allowed depends on the tasks of the other pages.
         for (int index = 0; index < job.block_count(); ++index) {
             if (!blocks.contains(index)) {
                 txn.conditions.push_back({job.block_key(index), job.block(index).revision});
             }
         }
     }
-    take_claim(block_claims_, job, std::move(claim), machines, tasks);
+    track_claim(block_transaction_, job, std::move(claim), machines, tasks);
     if (block_keys.size() >= constants::claim_blocks_per_txn_max ||
-        txn.writes.size() + writes_of_next_claim > ctx_.ops_max() ||
+        txn.writes.size() + claim_writes_max > ctx_.ops_max() ||
         txn.conditions.size() + constants::claim_conditions_max > ctx_.conditions_max()) {
         send_block_claims();
     }
@@ -79,62 +80,63 @@
     }
     auto tasks = static_cast<int>(entry.placed.size());
     std::size_t bytes = bytes_of(entry);
-    if (!batched_entries_.entries.empty() &&
-        batched_entries_.entries_bytes + bytes > batched_claims_.entry_bytes_per_write()) {
+    if (!batched_transaction_.entries.empty() &&
+        batched_transaction_.entries_bytes + bytes > batched_claims_.entry_bytes_per_write()) {
         send_batched_claims();
     }
-    Txn& txn = batched_entries_.txn;
+    Txn& txn = batched_transaction_.txn;
     for (auto& condition : JobStore::live_conditions(job)) {
         txn.conditions.push_back(std::move(condition));
     }
     txn.conditions.push_back({job.block_key(block), job.block(block).revision});
-    batched_entries_.in_flight.block_keys.push_back(job.block_key(block));
-    batched_entries_.entries_bytes += bytes;
-    batched_entries_.entries.push_back(std::move(entry));
-    take_claim(batched_entries_, job, {}, machines, tasks);
-    if (txn.conditions.size() + conditions_of_batched_record + constants::claim_conditions_max >
+    batched_transaction_.in_flight.block_keys.push_back(job.block_key(block));
+    batched_transaction_.entries_bytes += bytes;
+    batched_transaction_.entries.push_back(std::move(entry));
+    track_claim(batched_transaction_, job, {}, machines, tasks);
+    if (txn.conditions.size() + claim_batch_conditions + constants::claim_conditions_max >
             ctx_.conditions_max() ||
-        txn.writes.size() + writes_of_next_claim > ctx_.ops_max()) {
+        txn.writes.size() + claim_writes_max > ctx_.ops_max()) {
         send_batched_claims();
     }
 }
 
-// Keeps what a claim takes reserved until its outcome is known.
-void ClaimWriter::take_claim(OpenTransaction& open, const Job& job, Claim claim,
-                             const std::vector<std::string>& machines, int tasks) {
-    InFlight& in_flight = open.in_flight;
+// Reserves a claim's resources, quota and blocks until its outcome is known.
+void ClaimWriter::track_claim(OpenTransaction& open, const Job& job, Claim claim,
+                              const std::vector<std::string>& machines, int tasks) {
+    InFlightClaims& in_flight = open.in_flight;
     ctx_.blocks_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
     for (const auto& name : machines) {
-        claimed_[name] += job.spec.task_resources;
-        in_flight.shares.push_back({name, job.spec.task_resources});
+        claimed_by_machine_[name] += job.spec.task_resources;
+        in_flight.claimed_resources.push_back({name, job.spec.task_resources});
     }
     claim.epoch = ctx_.jobs.revision_of(keys::epoch);
     claim.team = job.spec.team;
     claim.amount = job.spec.task_resources * tasks;
     quota_.reserve(claim.team, claim.amount);
     in_flight.claims.push_back(std::move(claim));
-    std::set<std::string> distinct(machines.begin(), machines.end());
-    ctx_.info("claim {} tasks {} on {}", job.spec.uid, tasks, fmt::join(distinct, ","));
+    std::set<std::string> distinct_machines(machines.begin(), machines.end());
+    ctx_.info("claim for job {}: {} tasks on machines {}", job.spec.uid, tasks,
+              fmt::join(distinct_machines, ","));
 }
 
 void ClaimWriter::send_block_claims() {
-    OpenTransaction open = std::exchange(block_claims_, {});
+    OpenTransaction open = std::exchange(block_transaction_, {});
     if (open.in_flight.claims.empty()) {
         return;
     }
     open.txn.conditions.push_back(ctx_.epoch_condition());
     open.txn.conditions.push_back(batched_claims_.table_condition());
     open.txn.purpose = Txn::Purpose::claim;
-    // A machine that is marked meanwhile starts nothing any more: every copy that holds a claim
-    // made after the mark holds the mark as well, and the claim is taken back.
+    // A machine that is cordoned in the meantime starts nothing any more: every replica that holds
+    // a claim made after the cordon also holds the cordon, and the claim is withdrawn.
     open.in_flight.target = ClaimTarget::block_record;
-    hold_replies(open.in_flight);
+    hold_heartbeat_replies(open.in_flight);
     ctx_.txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
                                       const StoreReply& reply) { settle(in_flight, reply); });
 }
 
 void ClaimWriter::send_batched_claims() {
-    OpenTransaction open = std::exchange(batched_entries_, {});
+    OpenTransaction open = std::exchange(batched_transaction_, {});
     if (open.in_flight.claims.empty()) {
         return;
     }
@@ -144,19 +146,19 @@
         claim.revision = record.revision;
     }
     open.txn.conditions.push_back(batched_claims_.table_condition());
-    open.in_flight.target = ClaimTarget::batched_record;
-    hold_replies(open.in_flight);
-    ++batched_in_flight_;
+    open.in_flight.target = ClaimTarget::claim_batch;
+    hold_heartbeat_replies(open.in_flight);
+    ++batched_writes_in_flight_;
     batched_claims_.write(std::move(open.entries), std::move(open.txn),
                           [this, in_flight = std::move(open.in_flight)](const StoreReply& reply) {
                               settle(in_flight, reply);
                           });
 }
 
-// The machines' open heartbeats are replied to once the claims are settled.
-void ClaimWriter::hold_replies(InFlight& in_flight) {
-    for (const auto& share : in_flight.shares) {
-        in_flight.machines.insert(share.machine);
+// Holds the replies to the machines' open heartbeats until the claims are settled.
+void ClaimWriter::hold_heartbeat_replies(InFlightClaims& in_flight) {
+    for (const auto& taken : in_flight.claimed_resources) {
+        in_flight.machines.insert(taken.machine);
     }
     for (const auto& name : in_flight.machines) {
         if (Machine* machine = agents_.find(name)) {
@@ -165,49 +167,50 @@
     }
 }
 
-void ClaimWriter::settle(const InFlight& in_flight, const StoreReply& reply) {
+void ClaimWriter::settle(const InFlightClaims& in_flight, const StoreReply& reply) {
     using Status = StoreReply::Status;
     if (reply.status == Status::ok || reply.status == Status::conflict) {
         if (reply.status == Status::conflict) {
-            ctx_.debug("claims lost to other changes of {}", fmt::join(reply.failed_keys, ","));
+            ctx_.debug("claims rejected because other writes changed {}",
+                       fmt::join(reply.failed_keys, ","));
         }
         ctx_.when_at(reply.revision, [this, in_flight] {
             release_quota(in_flight);
-            finish(in_flight);
+            release_in_flight(in_flight);
         });
     } else if (reply.status == Status::unknown) {
-        // It may still be executed, for as long as its conditions hold: its amount stays
-        // reserved until the records have moved on.
+        // The transaction may still be applied while its conditions hold: its quota stays reserved
+        // until the records have changed so that they no longer hold.
         unknown_outcomes_.insert(unknown_outcomes_.end(), in_flight.claims.begin(),
                                  in_flight.claims.end());
-        finish(in_flight);
+        release_in_flight(in_flight);
     } else {
         release_quota(in_flight);
-        finish(in_flight);
+        release_in_flight(in_flight);
     }
 }
 
-void ClaimWriter::release_quota(const InFlight& in_flight) {
+void ClaimWriter::release_quota(const InFlightClaims& in_flight) {
     for (const auto& claim : in_flight.claims) {
         quota_.release(claim.team, claim.amount);
     }
 }
 
-// Ends what a transaction's claims held while they were in flight, other than quota.
-void ClaimWriter::finish(const InFlight& in_flight) {
-    if (in_flight.target == ClaimTarget::batched_record) {
-        --batched_in_flight_;
+// Releases what a transaction's claims held while in flight, except quota.
+void ClaimWriter::release_in_flight(const InFlightClaims& in_flight) {
+    if (in_flight.target == ClaimTarget::claim_batch) {
+        --batched_writes_in_flight_;
     } else {
         blocks_in_flight_ -= in_flight.block_keys.size();
     }
     for (const auto& key : in_flight.block_keys) {
         ctx_.blocks_in_flight.erase(key);
     }
-    for (const auto& share : in_flight.shares) {
-        Resources& claimed = claimed_[share.machine];
-        claimed -= share.amount;
+    for (const auto& taken : in_flight.claimed_resources) {
+        Resources& claimed = claimed_by_machine_[taken.machine];
+        claimed -= taken.amount;
         if (claimed.cpus < Resources::rounding_tolerance) {
-            claimed_.erase(share.machine);
+            claimed_by_machine_.erase(taken.machine);
         }
     }
     for (const auto& name : in_flight.machines) {
@@ -220,14 +223,14 @@
 }
 
 void ClaimWriter::records_changed() {
-    for (std::size_t i = 0; i < unknown_outcomes_.size();) {
-        const Claim& claim = unknown_outcomes_[i];
-        if (is_undecided(claim)) {
-            ++i;
+    for (std::size_t index = 0; index < unknown_outcomes_.size();) {
+        const Claim& claim = unknown_outcomes_[index];
+        if (is_unresolved(claim)) {
+            ++index;
             continue;
         }
         quota_.release(claim.team, claim.amount);
-        unknown_outcomes_.erase(unknown_outcomes_.begin() + static_cast<std::ptrdiff_t>(i));
+        unknown_outcomes_.erase(unknown_outcomes_.begin() + static_cast<std::ptrdiff_t>(index));
     }
 }
 
--- a/src/core/scheduling/claim_writer.hpp
+++ b/src/core/scheduling/claim_writer.hpp
@@ -1,7 +1,7 @@
-// Claim writer: gathers the claims of a scheduling round into compare-and-swap transactions, keeps
-// what they take reserved while they are in flight, and settles them by their outcome. A claim is
-// the record that a task is placed on a machine; that a claim has lost to another change is found
-// by its conditions, and the job is looked at again in a later round.
+/// Claim writer: collects the claims of a scheduling round into compare-and-swap transactions,
+/// keeps their resources reserved while they are in flight, and settles them by their outcome. A
+/// claim is the record that a task is placed on a machine. A claim that conflicts with another
+/// change fails by its conditions, and a later round tries to place the job again.
 #pragma once
 
 #include <cstddef>
@@ -20,12 +20,12 @@
 
 /// Which record a claim is written to.
 enum class ClaimTarget {
-    block_record,    ///< the record of the claimed tasks' own block
-    batched_record,  ///< a record shared by many blocks, see BatchedClaims
+    block_record,  ///< the record of the claimed tasks' own block
+    claim_batch,   ///< a record shared by many blocks, see BatchedClaims
 };
 
-/// Writes claims of tasks. One claim per transaction would make claims of the same team fail each
-/// other, since they all may change its quota record.
+/// Writes claims of tasks, several per transaction: with one claim per transaction, claims of the
+/// same team would make each other fail, since each may change the team's quota record.
 class ClaimWriter {
   public:
     /// All arguments must outlive this object.
@@ -37,92 +37,94 @@
           quota_(quota),
           batched_claims_(batched_claims) {}
 
-    /// Whether claims wait for the write limit of the key-value store.
+    /// Whether claims are delayed by the write limit of the key-value store.
     bool is_write_limited() const {
         return blocks_in_flight_ >= constants::claim_blocks_per_txn_max;
     }
-    /// Whether no more claims may be made before some in flight are settled.
+    /// Whether no more claims may be made until some in flight are settled.
     bool is_full() const { return blocks_in_flight_ >= constants::claim_blocks_in_flight_max; }
-    /// The same of claims in batched records.
+    /// The same for claims in claim batches.
     bool is_batched_full() const {
-        return batched_in_flight_ >= constants::claim_batch_writes_in_flight_max;
+        return batched_writes_in_flight_ >= constants::claim_batch_writes_in_flight_max;
     }
-    /// What claims in flight, or not sent yet, take of a machine.
+    /// Resources of a machine taken by claims that are in flight or not sent yet.
     Resources claimed_on(const std::string& machine) const;
-    /// Whether a claim in that block's own record had no answer and may still be carried out.
-    /// Guards against one in a batched record beside it: that leaves the block's revision as it
-    /// is, so that both would hold. In the block's record only one of the two can.
-    bool is_in_doubt(const std::string& block_key) const;
+    /// Whether a claim in that block's own record got no reply and may still be applied. Until that
+    /// is resolved, no claim on the block may go into a claim batch: such a claim leaves the
+    /// block's revision unchanged, so both would be applied. Of two claims in the block's own
+    /// record only one can be.
+    bool has_unresolved_claim(const std::string& block_key) const;
 
-    /// Whether the team's quota allows `amount` more; adds the change of its quota record to the
-    /// open transaction if one is needed for that.
+    /// Whether the team's quota allows `amount` more. If this controller's quota slice must grow
+    /// for that, the change of the quota record is added to the open transaction.
     bool cover_quota(ClaimTarget target, const std::string& team, const Resources& amount);
-    /// Adds a claim of `tasks` tasks in the blocks' own records, as they are to become. `machines`
-    /// names the machine of each task.
+    /// Adds a claim of `tasks` tasks in the blocks' own records. `blocks` holds the new values of
+    /// these records, `machines` the machine name of each task.
     void add_block_claim(const Job& job, const std::map<int, Block>& blocks,
                          const std::vector<std::string>& machines, int tasks);
-    /// Adds a claim in a batched record, of the tasks that `next` places beyond the block's own
-    /// record, which stays as it is: whatever is written to that one comes either before the
-    /// claim, which then fails, or knows of it.
+    /// Adds a claim in a claim batch, of the tasks that `next` places in addition to those in the
+    /// block's own record, which stays unchanged. Every write to the block's own record either
+    /// comes before the claim, which then fails, or is made with knowledge of the claim.
     void add_batched_claim(const Job& job, int block, const Block& next,
                            const std::vector<std::string>& machines);
-    /// Sends the gathered claims of blocks' own records as one transaction.
+    /// Sends the collected claims in blocks' own records as one transaction.
     void send_block_claims();
-    /// Sends the gathered claims of batched records as one transaction.
+    /// Sends the collected claims in a claim batch as one transaction.
     void send_batched_claims();
 
-    /// The records changed: releases the quota of claims without an answer that are now decided.
+    /// The records changed: releases the quota of claims without a reply whose outcome is now
+    /// decided.
     void records_changed();
 
   private:
-    /// A claim whose outcome is open.
+    /// A claim whose outcome is not known yet.
     struct Claim {
         std::string key;        // of the record it is written to
-        Revision revision = 0;  // that the record must have for the claim to be carried out
+        Revision revision = 0;  // that the record must have for the claim to be applied
         Revision epoch = 0;     // revision of the membership epoch at the claim
         std::string team;
         Resources amount;
     };
-    /// What one task takes of its machine.
-    struct MachineShare {
+    /// Resources that one task takes on its machine.
+    struct ClaimedResources {
         std::string machine;
         Resources amount;
     };
-    /// What is to be released once a transaction is settled.
-    struct InFlight {
+    /// What must be released once a transaction is settled.
+    struct InFlightClaims {
         ClaimTarget target = ClaimTarget::block_record;
         std::vector<std::string> block_keys;
-        std::vector<MachineShare> shares;
+        std::vector<ClaimedResources> claimed_resources;
         std::vector<Claim> claims;
-        std::set<std::string> machines;  // that hold their heartbeat replies open meanwhile
+        std::set<std::string> machines;  // whose heartbeat replies are held until then
     };
-    /// Claims of a round that are written together.
+    /// Claims of a round that are written in one transaction.
     struct OpenTransaction {
         Txn txn;
-        std::vector<ClaimBatchEntry> entries;  // of a batched record
+        std::vector<ClaimBatchEntry> entries;  // of a claim batch
         std::size_t entries_bytes = 0;         // as bytes_of counts them
-        InFlight in_flight;
+        InFlightClaims in_flight;
     };
 
-    void take_claim(OpenTransaction& open, const Job& job, Claim claim,
-                    const std::vector<std::string>& machines, int tasks);
-    void hold_replies(InFlight& in_flight);
-    void settle(const InFlight& in_flight, const StoreReply& reply);
-    void release_quota(const InFlight& in_flight);
-    void finish(const InFlight& in_flight);
-    bool is_undecided(const Claim& claim) const;
+    void track_claim(OpenTransaction& open, const Job& job, Claim claim,
+                     const std::vector<std::string>& machines, int tasks);
+    void hold_heartbeat_replies(InFlightClaims& in_flight);
+    void settle(const InFlightClaims& in_flight, const StoreReply& reply);
+    void release_quota(const InFlightClaims& in_flight);
+    void release_in_flight(const InFlightClaims& in_flight);
+    bool is_unresolved(const Claim& claim) const;
 
     Context& ctx_;
     AgentRegistry& agents_;
     HeartbeatReplies& replies_;
     Quota& quota_;
     BatchedClaims& batched_claims_;
-    std::map<std::string, Resources> claimed_;  // by machine
+    std::map<std::string, Resources> claimed_by_machine_;
     std::vector<Claim> unknown_outcomes_;
-    OpenTransaction block_claims_;
-    OpenTransaction batched_entries_;
-    std::size_t batched_in_flight_ = 0;  // transactions of batched records
-    std::size_t blocks_in_flight_ = 0;   // blocks with a claim in their own record
+    OpenTransaction block_transaction_;
+    OpenTransaction batched_transaction_;
+    std::size_t batched_writes_in_flight_ = 0;  // transactions that write a claim batch
+    std::size_t blocks_in_flight_ = 0;          // blocks with a claim in their own record
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -51,9 +51,8 @@
     if (!offer.is_empty || offer.machine->spot) {
         return false;
     }
-    FleetQuestion question{FleetQuestion::Kind::fits_machine_in_use, pending.equivalence_class, 0,
-                           0};
-    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    FleetQuery question{FleetQuery::Kind::fits_machine_in_use, pending.equivalence_class, 0, 0};
+    auto [answer, is_new] = round.query_results.try_emplace(question, false);
     if (is_new) {
         answer->second = any_machine_in_use_fits(*pending.job);
     }
@@ -76,8 +75,8 @@
         spec.priority > Priority::normal || !offer.is_empty) {
         return false;
     }
-    FleetQuestion question{FleetQuestion::Kind::fits_spot_machine, pending.equivalence_class, 0, 0};
-    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    FleetQuery question{FleetQuery::Kind::fits_spot_machine, pending.equivalence_class, 0, 0};
+    auto [answer, is_new] = round.query_results.try_emplace(question, false);
     if (is_new) {
         answer->second = any_spot_machine_fits(*pending.job);
     }
@@ -104,9 +103,8 @@
     bool is_unstarted_gang = job.spec.kind == JobKind::gang && job.done() == 0;
     int needed = is_unstarted_gang ? job.spec.tasks : 1;
     int image = agents_.image_number(job.spec.image);
-    FleetQuestion question{FleetQuestion::Kind::finds_image, pending.equivalence_class, image,
-                           needed};
-    auto [answer, is_new] = round.answers.try_emplace(question, false);
+    FleetQuery question{FleetQuery::Kind::finds_image, pending.equivalence_class, image, needed};
+    auto [answer, is_new] = round.query_results.try_emplace(question, false);
     if (is_new) {
         answer->second = enough_machines_with_image(job, image, needed);
     }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -56,13 +56,14 @@
     claim_writer_.send_batched_claims();
 }
 
-// Adds the machines with free room to the round: those of ours, or those of other controllers.
+// Adds the machines with free room to the round: this controller's, or those of other controllers.
 void Scheduler::collect_offers(SchedulingRound& round, bool owned_by_us) const {
     for (Machine* machine : agents_.all()) {
         if (machine->owned_by_us != owned_by_us) {
             continue;
         }
-        // Where there is no room or use for it, that is an answer as well.
+        // Set also for a machine without usable room: its heartbeat reply need not wait for a
+        // round.
         machine->seen_by_scheduler = true;
         if (agents_.room(*machine).cpus < Resources::rounding_tolerance ||
             !(owned_by_us ? agents_.usable(*machine) : agents_.in_use(*machine))) {
@@ -84,26 +85,27 @@
     }
 }
 
-// Whether it is this controller's turn to claim from the job. Controllers that claim from the same
-// job at once would fail each other: each starts a while after the one before it, or claims only
-// from the blocks that it owns.
+// Whether this controller may claim from the job now. Claims of several controllers on the same job
+// at once would fail each other, so each controller starts some time after the one ranked before
+// it. From a job with batched claims it claims only the blocks that it owns, without that delay.
 bool Scheduler::may_place_now(const PendingJob& pending) const {
     const Job& job = *pending.job;
     bool is_batched = batched_claims_.is_batched(job);
     double stagger_s =
         is_batched ? 0 : constants::shard_stagger_s * static_cast<double>(pending.shard_rank);
-    bool is_of_other_owner =
+    bool has_other_shard_owner =
         is_batched && job.block_count() == 1 && !batched_claims_.may_claim(job, 0);
-    return !is_of_other_owner && ctx_.now.steady - pending.pending_since >= stagger_s;
+    return !has_other_shard_owner && ctx_.now.steady - pending.pending_since >= stagger_s;
 }
 
-// Filter, score, claim.
+// Filters and scores the machines for the job and claims tasks on them. A gang that does not fit
+// reserves machines instead.
 void Scheduler::place_job(SchedulingRound& round, const PendingJob& pending) {
     const Job& job = *pending.job;
     const JobSpec& spec = job.spec;
     bool is_gang = spec.kind == JobKind::gang && job.done() == 0;
-    // A gang of one that takes a whole machine looks for it as larger ones do, among all
-    // controllers'.
+    // A gang of one task that needs a whole machine is placed as larger gangs are: on a machine of
+    // any controller.
     if (is_gang && (spec.tasks > 1 || agents_.needs_whole_machine(spec))) {
         if (!place_gang(round, pending)) {
             reservations_.reserve_for_gang(round, pending);
@@ -116,80 +118,84 @@
         }
         return;
     }
-    auto [candidates, fits_any] = filter_and_score(round, pending);
-    if (!fits_any) {
+    auto [candidates, any_fits] = filter_and_score(round, pending);
+    if (!any_fits) {
         round.unplaceable_classes.insert(pending.equivalence_class);
     }
     sort_candidates(candidates);
     if (!candidates.empty() && task_claims_.claim(job, candidates) > 0) {
         delay_scheduling_.on_claimed(spec.uid, candidates.front().has_image);
-    } else if (is_gang && !fits_any) {
+    } else if (is_gang && !any_fits) {
         reservations_.reserve_for_gang(round, pending);
     }
 }
 
-Scheduler::Filtered Scheduler::filter_and_score(SchedulingRound& round, const PendingJob& pending) {
+Scheduler::FilterResult Scheduler::filter_and_score(SchedulingRound& round,
+                                                    const PendingJob& pending) {
     const Job& job = *pending.job;
     bool is_gang = job.spec.kind == JobKind::gang && job.done() == 0;
-    Filtered filtered;
+    FilterResult filtered;
     for (auto& offer : round.offers) {
         if (!offer.owned_by_us || !constraints_.fits(offer, job)) {
             continue;
         }
-        filtered.fits_any = true;
+        filtered.any_fits = true;
         if (offer.is_reserved_against(job.spec)) {
             continue;
         }
-        Drawbacks drawbacks = find_drawbacks(round, offer, pending, is_gang);
-        if (lets_pass(round, offer, pending, drawbacks)) {
+        OfferAssessment assessment = assess_offer(round, offer, pending, is_gang);
+        if (should_skip_offer(round, offer, pending, assessment)) {
             delay_scheduling_.skip(job.spec.uid);
             continue;
         }
-        filtered.candidates.push_back({&offer, drawbacks.has_image, scoring_.score(offer, job)});
+        filtered.candidates.push_back({&offer, assessment.has_image, scoring_.score(offer, job)});
     }
     return filtered;
 }
 
-Scheduler::Drawbacks Scheduler::find_drawbacks(SchedulingRound& round, const MachineOffer& offer,
-                                               const PendingJob& pending, bool is_gang) const {
+Scheduler::OfferAssessment Scheduler::assess_offer(SchedulingRound& round,
+                                                   const MachineOffer& offer,
+                                                   const PendingJob& pending, bool is_gang) const {
     const JobSpec& spec = pending.job->spec;
     int image = agents_.image_number(spec.image);
     const auto& claimed = offer.images_claimed;
-    Drawbacks drawbacks;
-    drawbacks.has_image = spec.image_gb <= 0 || AgentRegistry::has_image(*offer.machine, image) ||
-                          std::count(claimed.begin(), claimed.end(), image) != 0;
-    drawbacks.fetch_contended = !drawbacks.has_image && scoring_.is_fetch_contended(offer, image);
-    drawbacks.spot_machine_fits = scoring_.fits_spot_machine(round, offer, pending);
-    drawbacks.machine_in_use_fits = !is_gang && scoring_.fits_machine_in_use(round, offer, pending);
-    return drawbacks;
+    OfferAssessment assessment;
+    assessment.has_image = spec.image_gb <= 0 || AgentRegistry::has_image(*offer.machine, image) ||
+                           std::count(claimed.begin(), claimed.end(), image) != 0;
+    assessment.fetch_contended = !assessment.has_image && scoring_.is_fetch_contended(offer, image);
+    assessment.spot_machine_fits = scoring_.fits_spot_machine(round, offer, pending);
+    assessment.machine_in_use_fits =
+        !is_gang && scoring_.fits_machine_in_use(round, offer, pending);
+    return assessment;
 }
 
-// Whether the job lets the machine pass and waits for a better one (Algorithm 3 of the paper, with
-// other reasons to wait beside locality).
-bool Scheduler::lets_pass(SchedulingRound& round, const MachineOffer& offer,
-                          const PendingJob& pending, const Drawbacks& drawbacks) const {
+// Whether the job skips the machine and waits for a better one (Algorithm 3 of the paper, with
+// reasons to wait besides locality).
+bool Scheduler::should_skip_offer(SchedulingRound& round, const MachineOffer& offer,
+                                  const PendingJob& pending,
+                                  const OfferAssessment& assessment) const {
     const JobSpec& spec = pending.job->spec;
-    bool has_reason = drawbacks.spot_machine_fits || drawbacks.fetch_contended ||
-                      drawbacks.machine_in_use_fits ||
-                      (!drawbacks.has_image && scoring_.may_find_image(round, pending));
+    bool has_reason = assessment.spot_machine_fits || assessment.fetch_contended ||
+                      assessment.machine_in_use_fits ||
+                      (!assessment.has_image && scoring_.may_find_image(round, pending));
     if (!has_reason) {
         return false;
     }
     double longest_wait_s =
-        delay_scheduling_.longest_wait_s(*offer.machine, spec, drawbacks.fetch_contended);
-    if (drawbacks.machine_in_use_fits) {
+        delay_scheduling_.longest_wait_s(*offer.machine, spec, assessment.fetch_contended);
+    if (assessment.machine_in_use_fits) {
         longest_wait_s = std::max(longest_wait_s, ctx_.tunables.locality_wait_s);
     }
-    if (drawbacks.spot_machine_fits) {
+    if (assessment.spot_machine_fits) {
         longest_wait_s = std::max(longest_wait_s, constants::spot_machine_wait_s);
     }
     auto state = delay_scheduling_.state_of(spec.uid);
-    bool may_wait = state.level == LocalityLevel::image_local || drawbacks.spot_machine_fits;
+    bool may_wait = state.level == LocalityLevel::image_local || assessment.spot_machine_fits;
     return may_wait && state.waited_s < longest_wait_s;
 }
 
-// Claims the gang whole or not at all. Returns whether its room is there, or is not what it lacks;
-// otherwise machines should be reserved for it.
+// Claims all tasks of the gang or none. Returns true if the gang has room or lacks something other
+// than room, false if machines should be reserved for it.
 bool Scheduler::place_gang(SchedulingRound& round, const PendingJob& pending) {
     const Job& job = *pending.job;
     const JobSpec& spec = job.spec;
@@ -213,21 +219,22 @@
         }
         return false;
     }
-    if (gang_lets_pass(round, pending, places)) {
+    if (should_delay_gang(round, pending, places)) {
         delay_scheduling_.skip(spec.uid);
-        return true;  // it has room: nothing needs to be reserved for it
+        return true;  // the gang has room: no reservation is needed
     }
     if (!gang_placement_.enter_places(job, places, blocks)) {
-        ctx_.jobs_to_split.insert(spec.uid);  // its blocks are of the version before
+        // The job's blocks were laid out by an older version and outgrow their records.
+        ctx_.jobs_to_split.insert(spec.uid);
         return true;
     }
     claim_gang(job, places, blocks);
     return true;
 }
 
-// Whether the gang waits for machines with its image, see lets_pass.
-bool Scheduler::gang_lets_pass(SchedulingRound& round, const PendingJob& pending,
-                               const GangPlacement::Places& places) const {
+// Whether the gang waits for machines with its image, see should_skip_offer.
+bool Scheduler::should_delay_gang(SchedulingRound& round, const PendingJob& pending,
+                                  const GangPlacement::Places& places) const {
     const JobSpec& spec = pending.job->spec;
     double longest_wait_s = delay_scheduling_.longest_wait_s(*places.tasks.front().offer->machine,
                                                              spec, /*fetch_contended=*/false);
@@ -236,7 +243,7 @@
            state.waited_s < longest_wait_s && scoring_.may_find_image(round, pending);
 }
 
-// Sends the gang's claim in a transaction of its own, unless its team's quota forbids it.
+// Sends the gang's claim in a transaction of its own, unless the team's quota does not allow it.
 void Scheduler::claim_gang(const Job& job, const GangPlacement::Places& places,
                            const std::map<int, Block>& blocks) {
     const JobSpec& spec = job.spec;
@@ -249,7 +256,7 @@
     for (const auto& place : places.tasks) {
         place.offer->room -= spec.task_resources;
     }
-    auto machines = take_offers(places.tasks, agents_.image_number(spec.image));
+    auto machines = mark_offers_claimed(places.tasks, agents_.image_number(spec.image));
     claim_writer_.add_block_claim(job, blocks, machines, spec.tasks);
     claim_writer_.send_block_claims();
     delay_scheduling_.on_claimed(spec.uid, places.with_image == spec.tasks);
@@ -259,17 +266,17 @@
     reservations_.epoch_changed();
 }
 
-void Scheduler::records_changed(const std::set<std::string>& touched) {
+void Scheduler::records_changed(const std::set<std::string>& changed_uids) {
     claim_writer_.records_changed();
-    std::set<std::string> placed;  // or over
-    for (const auto& uid : touched) {
+    std::set<std::string> uids_without_open_tasks;
+    for (const auto& uid : changed_uids) {
         const Job* job = ctx_.jobs.find(uid);
         if (job == nullptr || job->open() == 0) {
             delay_scheduling_.forget(uid);
-            placed.insert(uid);
+            uids_without_open_tasks.insert(uid);
         }
     }
-    reservations_.on_jobs_placed(placed);
+    reservations_.on_jobs_placed(uids_without_open_tasks);
 }
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -1,8 +1,8 @@
-// Scheduler: one scheduling round after the other. The machines that reported free room since the
-// last round are served together: the jobs are visited in fair-share order, the machines are
-// filtered by the job's constraints, scored, and claimed. A job without its image on a machine lets
-// it pass for a limited time (delay scheduling: Zaharia et al., EuroSys 2010, section 4.1). Gangs
-// reserve machines and start whole.
+/// Scheduler: runs scheduling rounds, each over all machines with free room at that time. A round
+/// visits the pending jobs in fair-share order and, for each job, filters the machines by its
+/// constraints, scores them and claims them. A job skips a machine that lacks its image for a
+/// limited time (delay scheduling: Zaharia et al., EuroSys 2010, section 4.1). Gangs reserve
+/// machines and start all their tasks at once.
 #pragma once
 
 #include <set>
@@ -38,44 +38,44 @@
 
     /// The membership epoch changed: machines may have changed their owner.
     void epoch_changed();
-    /// The records changed; `touched` holds the uids of the jobs that changed.
-    void records_changed(const std::set<std::string>& touched);
+    /// The records changed; `changed_uids` holds the uids of the jobs that changed.
+    void records_changed(const std::set<std::string>& changed_uids);
     /// Runs a round if one is due. Called once per controller tick.
     void tick();
 
-    /// Whether claims wait for the write limit of the key-value store.
+    /// Whether claims are delayed by the write limit of the key-value store.
     bool is_write_limited() const { return claim_writer_.is_write_limited(); }
-    /// The constraints of jobs on machines.
+    /// The placement constraints of jobs.
     const PlacementConstraints& constraints() const { return constraints_; }
-    /// The machines that are kept for one job each.
+    /// The reservations of this controller's machines, each for one job.
     GangReservations& reservations() { return reservations_; }
 
   private:
-    // The machines that one job's tasks may be claimed on now.
-    struct Filtered {
+    // The machines on which one job's tasks may be claimed now.
+    struct FilterResult {
         std::vector<Candidate> candidates;
-        bool fits_any = false;  // also a machine that the job lets pass, or that is reserved
+        bool any_fits = false;  // a machine fits, even if the job skips it or it is reserved
     };
-    // What speaks against a machine that fits.
-    struct Drawbacks {
+    // What decides whether a job skips a machine that fits.
+    struct OfferAssessment {
         bool has_image = false;
         bool fetch_contended = false;
-        bool spot_machine_fits = false;  // another, which is cheaper
-        bool machine_in_use_fits = false;
+        bool spot_machine_fits = false;    // a cheaper spot machine would fit
+        bool machine_in_use_fits = false;  // this one is empty, and a machine in use would fit
     };
 
     void run_round();
     void collect_offers(SchedulingRound& round, bool owned_by_us) const;
     bool may_place_now(const PendingJob& pending) const;
     void place_job(SchedulingRound& round, const PendingJob& pending);
-    Filtered filter_and_score(SchedulingRound& round, const PendingJob& pending);
-    Drawbacks find_drawbacks(SchedulingRound& round, const MachineOffer& offer,
-                             const PendingJob& pending, bool is_gang) const;
-    bool lets_pass(SchedulingRound& round, const MachineOffer& offer, const PendingJob& pending,
-                   const Drawbacks& drawbacks) const;
+    FilterResult filter_and_score(SchedulingRound& round, const PendingJob& pending);
+    OfferAssessment assess_offer(SchedulingRound& round, const MachineOffer& offer,
+                                 const PendingJob& pending, bool is_gang) const;
+    bool should_skip_offer(SchedulingRound& round, const MachineOffer& offer,
+                           const PendingJob& pending, const OfferAssessment& assessment) const;
     bool place_gang(SchedulingRound& round, const PendingJob& pending);
-    bool gang_lets_pass(SchedulingRound& round, const PendingJob& pending,
-                        const GangPlacement::Places& places) const;
+    bool should_delay_gang(SchedulingRound& round, const PendingJob& pending,
+                           const GangPlacement::Places& places) const;
     void claim_gang(const Job& job, const GangPlacement::Places& places,
                     const std::map<int, Block>& blocks);
 
@@ -92,7 +92,7 @@
     GangPlacement gang_placement_;
     ClaimWriter claim_writer_;
     TaskClaims task_claims_;
-    double last_round_at_ = 0;  // steady s
+    double last_round_at_ = 0;  // steady time, in seconds
 };
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/scheduling_round.hpp
+++ b/src/core/scheduling/scheduling_round.hpp
@@ -1,5 +1,5 @@
-// The data of one scheduling round: the machines with free room (offers), and what the round has
-// already found out, so that a question with the same answer for many jobs is asked once.
+/// The data of one scheduling round: the machines with free room (offers), and cached results that
+/// are the same for many jobs.
 #pragma once
 
 #include <map>
@@ -21,10 +21,10 @@
     bool owned_by_us = false;
     /// No task is placed on it.
     bool is_empty = false;
-    /// The job that its room is reserved for; empty if there is none.
+    /// The uid of the job that its room is reserved for; empty: not reserved.
     std::string reserved_for;
     Priority reserved_priority = Priority::normal;
-    /// Images (by number) of the tasks claimed on it in this round.
+    /// Images (by number) of the tasks claimed on it in this round: it will have them.
     std::vector<int> images_claimed;
 
     /// Whether its room is reserved for another job that is at least as urgent as `spec`.
@@ -39,49 +39,50 @@
     MachineOffer* offer = nullptr;
     /// The machine has the job's image, or the job needs none.
     bool has_image = false;
-    /// See MachineScoring::score: the least is used first.
+    /// See MachineScoring::score: the lowest score is used first.
     double score = 0;
 };
 
 /// Sorts candidates into the order of use: machines with the job's image first, then by score.
-/// Stable, so that equal ones keep the order of the offers.
+/// The sort is stable: equal candidates keep the order of the offers.
 void sort_candidates(std::vector<Candidate>& candidates);
 
-/// A question about all machines whose answer is the same for every job of an equivalence class.
-struct FleetQuestion {
+/// A query over all machines whose result is the same for every job of an equivalence class.
+struct FleetQuery {
     enum class Kind { fits_machine_in_use, fits_spot_machine, finds_image };
     Kind kind = Kind::fits_machine_in_use;
     int equivalence_class = 0;
     int image = 0;
     int tasks = 0;
-    /// Orders questions in the map of answers.
-    friend bool operator<(const FleetQuestion& a, const FleetQuestion& b) {
+    /// Orders queries in the map of results.
+    friend bool operator<(const FleetQuery& a, const FleetQuery& b) {
         return std::tie(a.kind, a.equivalence_class, a.image, a.tasks) <
                std::tie(b.kind, b.equivalence_class, b.image, b.tasks);
     }
 };
 
-/// The size of a gang, as far as it decides where it fits.
+/// The properties of a gang that decide where it fits.
 struct GangSize {
     int tasks = 0;
     int equivalence_class = 0;
-    /// Orders sizes in a set.
+    /// Orders gang sizes in a set.
     friend bool operator<(const GangSize& a, const GangSize& b) {
         return std::tie(a.tasks, a.equivalence_class) < std::tie(b.tasks, b.equivalence_class);
     }
 };
 
-/// What one scheduling round works with; made anew for each.
+/// The state of one scheduling round, created anew for each round.
 struct SchedulingRound {
     std::vector<MachineOffer> offers;
-    /// Machines of other controllers are among the offers; only gangs ask for them.
+    /// The offers include machines of other controllers, which only gangs use.
     bool includes_other_owners = false;
-    /// Demands that fit no offer of a machine of ours.
+    /// Equivalence classes of jobs that fit no offer of this controller's machines.
     std::set<int> unplaceable_classes;
+    /// Gangs, by size, that fit no set of offers.
     std::set<GangSize> unplaceable_gangs;
-    /// Answers of this round.
-    std::map<FleetQuestion, bool> answers;
-    /// Teams whose first waiting gang has had its chance to reserve machines.
+    /// Results of the queries made in this round.
+    std::map<FleetQuery, bool> query_results;
+    /// Teams whose first pending gang has had its turn to reserve machines in this round.
     std::set<std::string> teams_reserving;
 };
 
--- a/src/core/scheduling/task_claims.hpp
+++ b/src/core/scheduling/task_claims.hpp
@@ -1,5 +1,5 @@
-// Task claims: chooses machines for the tasks of arrays and services, block by block, as many as
-// the candidates take, and hands the claims to the claim writer.
+/// Task claims: chooses machines for the tasks of job arrays and services, block by block, until
+/// the candidates have no room left, and passes the claims to the claim writer.
 #pragma once
 
 #include <cstddef>
@@ -22,11 +22,11 @@
     MachineOffer* offer = nullptr;
 };
 
-/// Enters the claimed tasks into the round's offers: their machines are no longer empty, and will
-/// fetch the image of that number.
-std::vector<std::string> take_offers(const std::vector<TaskPlace>& places, int image);
+/// Updates the round's offers for claimed tasks: their machines are no longer empty, and will have
+/// the image of that number. Returns the machine name of each task, in the order of `places`.
+std::vector<std::string> mark_offers_claimed(const std::vector<TaskPlace>& places, int image);
 
-/// Claims tasks that may start one by one; see GangPlacement for those that start together.
+/// Claims tasks that may start independently; see GangPlacement for those that start together.
 class TaskClaims {
   public:
     /// All arguments must outlive this object.
@@ -41,8 +41,8 @@
           constraints_(constraints),
           claim_writer_(claim_writer) {}
 
-    /// Claims as many of the job's tasks as the candidates take, in one write for each block, and
-    /// takes their room from the offers. Returns the number of tasks claimed.
+    /// Claims as many of the job's tasks as fit on the candidates, in one write per block, and
+    /// deducts their resources from the offers. Returns the number of tasks claimed.
     int claim(const Job& job, const std::vector<Candidate>& candidates);
 
   private:
