--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -8,9 +8,10 @@
 namespace cranemoor::core {
 
 namespace {
-void append(Txn& txn, Txn more) {
-    std::move(more.conditions.begin(), more.conditions.end(), std::back_inserter(txn.conditions));
-    std::move(more.writes.begin(), more.writes.end(), std::back_inserter(txn.writes));
+void append(Txn& txn, Txn addition) {
+    std::move(addition.conditions.begin(), addition.conditions.end(),
+              std::back_inserter(txn.conditions));
+    std::move(addition.writes.begin(), addition.writes.end(), std::back_inserter(txn.writes));
 }
 
 const char* cause_name(ExitCause cause) {
@@ -64,7 +65,7 @@
     }
     BlockExits& pending = pending_[{id.uid, job->block_of(id.index)}];
     if (pending.tasks.empty()) {
-        pending.since = ctx_.now.steady;
+        pending.oldest_at = ctx_.now.steady;
     }
     auto known = pending.tasks.find(id.index);
     if (known != pending.tasks.end() && known->second.attempt == task_exit.attempt) {
@@ -83,9 +84,9 @@
     }
 }
 
-// A proof that a place is empty holds only while this process commands the machine: another
-// owner may start the very claim that was found absent. What could not be written by then must
-// never be, however true it was; the next owner sees for itself.
+// A proof that a placement is empty holds only while this controller owns the machine: another
+// owner may start the very claim that was found absent. An exit that was not written by then must
+// never be written, even if it was true; the next owner establishes it itself.
 void PendingTaskExits::forget(const std::string& machine) {
     for (auto& [key, pending] : pending_) {
         std::erase_if(pending.tasks,
@@ -93,15 +94,16 @@
     }
 }
 
-// Whether a block's exits should be written now. Its record is written whole, so that the ends
-// of several tasks cost one write: they are collected for a while. Nothing waits for them
-// meanwhile: a task that ended leaves its room at once, and the last one here to end writes them
-// all. What must start again, and what a team near its limit gives back, is urgent.
+// Whether a block's exits should be written now. The block record is written whole, so exits are
+// collected for a while and several of them cost one write. Nothing waits for them meanwhile: a
+// task that exits frees its resources at once, and the last task of the block on our machines
+// triggers the write. Exits of tasks that must run again, and quota returned by a team near its
+// limit, are urgent.
 bool PendingTaskExits::is_write_due(const Job& job, const Block& block,
                                     const BlockExits& pending) const {
     bool urgent = job.cancelled || batched_claims_.is_batched(job);
     double limit_s = urgent ? constants::urgent_exit_write_delay_s : constants::exit_write_delay_s;
-    if (ctx_.now.steady - pending.since >= limit_s || job.spec.kind == JobKind::gang) {
+    if (ctx_.now.steady - pending.oldest_at >= limit_s || job.spec.kind == JobKind::gang) {
         return true;
     }
     for (const auto& [index, task_exit] : pending.tasks) {
@@ -114,8 +116,8 @@
         !quota_.within_limit(team->name, team->limit * constants::quota_slice_return_share)) {
         return true;
     }
-    // A machine that nothing else runs on is room for a gang, as soon as all members know. On one
-    // that goes, what is not told in time would be taken for lost.
+    // An emptied machine can take a gang as soon as all members know that it is empty. On a machine
+    // that is going away, an exit not written in time would be mistaken for the loss of the task.
     for (const auto& [index, task_exit] : pending.tasks) {
         const Machine* machine = registry_.find(task_exit.machine);
         if (machine != nullptr && (registry_.vacated(*machine) || machine->interruption_deadline ||
@@ -134,8 +136,8 @@
     if (pending == pending_.end()) {
         return;
     }
-    bool some_done = false;
-    bool some_failed = false;
+    bool any_done = false;
+    bool any_failed = false;
     for (const auto& [index, task_exit] : pending->second.tasks) {
         auto placement = next.placed.find(index);
         if (placement == next.placed.end() || placement->second.attempt != task_exit.attempt) {
@@ -145,10 +147,10 @@
         if (task_exit.is_done()) {
             next.add_done(index);
         }
-        some_done = some_done || task_exit.is_done();
-        some_failed = some_failed || task_exit.is_failure();
+        any_done = any_done || task_exit.is_done();
+        any_failed = any_failed || task_exit.is_failure();
     }
-    next.consecutive_failures = some_done ? 0 : next.consecutive_failures + (some_failed ? 1 : 0);
+    next.consecutive_failures = any_done ? 0 : next.consecutive_failures + (any_failed ? 1 : 0);
 }
 
 void PendingTaskExits::flush() {
@@ -157,7 +159,7 @@
     }
     std::vector<BlockRef> blocks;
     std::vector<BlockRef> batched;
-    bool deferrable = true;  // whether nothing waits for any of them
+    bool deferrable = true;  // whether nothing waits for any of these writes
     for (const DueBlock& due : collect_due_blocks()) {
         if (goes_to_batched_record(due.block)) {
             batched.push_back(due.block);
@@ -170,28 +172,28 @@
     write_batched(batched);
 }
 
-// The blocks whose ends are due, in the order in which they are missed.
+// Returns the blocks whose exits are due: those that something waits for first, then by age.
 std::vector<PendingTaskExits::DueBlock> PendingTaskExits::collect_due_blocks() {
     std::vector<DueBlock> due;
-    bool full_scan = ctx_.now.steady >= next_full_scan_s_;
-    next_full_scan_s_ =
-        full_scan ? ctx_.now.steady + constants::exit_scan_interval_s : next_full_scan_s_;
+    bool full_scan = ctx_.now.steady >= next_full_scan_at_;
+    next_full_scan_at_ =
+        full_scan ? ctx_.now.steady + constants::exit_scan_interval_s : next_full_scan_at_;
     for (auto it = pending_.begin(); it != pending_.end();) {
         const auto& [uid, block] = it->first;
         auto& pending = it->second;
         auto& tasks = pending.tasks;
-        bool waited =
-            full_scan && ctx_.now.steady - pending.since >= constants::urgent_exit_write_delay_s;
-        if (!pending.needs_review && !waited) {
+        bool overdue = full_scan &&
+                       ctx_.now.steady - pending.oldest_at >= constants::urgent_exit_write_delay_s;
+        if (!pending.needs_review && !overdue) {
             ++it;
             continue;
         }
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && block >= job->block_count()) {
-            job = nullptr;  // numbered as before the job was parted: it will be seen again
+            job = nullptr;  // numbered before the blocks were split; will be found again
         }
         if (job != nullptr && pending.needs_review) {
-            // Drop what the records say already.
+            // Drop the exits that the records contain already.
             const auto& placed = job->block(block).placed;
             std::erase_if(tasks, [&](const auto& entry) {
                 auto placement = placed.find(entry.first);
@@ -209,27 +211,28 @@
                            job->done() + static_cast<int>(tasks.size()) >= job->spec.tasks ||
                            std::any_of(tasks.begin(), tasks.end(),
                                        [](const auto& entry) { return !entry.second.is_done(); });
-            due.push_back({!awaited, pending.since, it->first});
+            due.push_back({!awaited, pending.oldest_at, it->first});
         }
         ++it;
     }
     std::sort(due.begin(), due.end(), [](const DueBlock& a, const DueBlock& b) {
-        return std::tie(a.deferrable, a.since, a.block) < std::tie(b.deferrable, b.since, b.block);
+        return std::tie(a.deferrable, a.oldest_at, a.block) <
+               std::tie(b.deferrable, b.oldest_at, b.block);
     });
     return due;
 }
 
-// Only so many at once: while writes are short they would wait anyway, and what is told meanwhile
-// goes with them.
+// Limits the blocks in flight: while write capacity is short, more writes would only wait, and the
+// exits that are learned meanwhile are written together with them.
 void PendingTaskExits::write_blocks(const std::vector<BlockRef>& due, bool deferrable) {
     Txn txn;
     txn.purpose = Txn::Purpose::task_exit;
-    std::vector<std::string> taken;
+    std::vector<std::string> locked_keys;
     std::vector<BlockRef> written;
     bool full = false;
     for (const BlockRef& ref : due) {
         full = full || blocks_in_flight_ + written.size() >= constants::exit_blocks_in_flight_max;
-        if (full || !add_block_exit_writes(ref, txn, taken)) {
+        if (full || !add_block_exit_writes(ref, txn, locked_keys)) {
             pending_[ref].needs_review = true;
         } else {
             written.push_back(ref);
@@ -241,19 +244,19 @@
     txn.urgency = deferrable ? Urgency::low : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, taken, written](const StoreReply& reply) {
+    ctx_.txn(std::move(txn), [this, locked_keys, written](const StoreReply& reply) {
         blocks_in_flight_ -= written.size();
-        on_write_settled(reply, taken, written);
+        on_write_settled(reply, locked_keys, written);
     });
 }
 
-// Refused or unknown: the next tick tries again. If the first one is executed late, its conditions
-// fail or it says the same.
+// After a refusal or an unknown outcome the next tick tries again. If the first write is executed
+// late, its conditions fail or it writes the same.
 void PendingTaskExits::on_write_settled(const StoreReply& reply,
-                                        const std::vector<std::string>& taken,
+                                        const std::vector<std::string>& locked_keys,
                                         const std::vector<BlockRef>& blocks) {
-    ctx_.when_settled(reply, [this, taken, blocks] {
-        for (const auto& key : taken) {
+    ctx_.when_settled(reply, [this, locked_keys, blocks] {
+        for (const auto& key : locked_keys) {
             ctx_.blocks_in_flight.erase(key);
         }
         for (const BlockRef& ref : blocks) {
@@ -264,8 +267,8 @@
     });
 }
 
-// Whether a block's ends are facts that need its record only in time: no failure is to be counted
-// there, and the job is not over with them.
+// Whether a block's exits may go to a batched record first and into the block record later: they
+// change no failure count there, and they do not complete the job.
 bool PendingTaskExits::goes_to_batched_record(const BlockRef& ref) const {
     const Job& job = *ctx_.jobs.find(ref.uid);
     const auto& tasks = pending_.at(ref).tasks;
@@ -278,14 +281,14 @@
     return !failed && (job.cancelled || job.done() + done < job.spec.tasks);
 }
 
-// Ends of many blocks in one write. An end is true whatever becomes of its block, so that nothing
-// but the epoch is a condition of it.
+// Writes the exits of many blocks in one record. An exit stays true whatever happens to its block,
+// so the write is conditional on the epoch alone.
 void PendingTaskExits::write_batched(const std::vector<BlockRef>& due) {
     std::vector<ClaimBatchEntry> entries;
-    std::vector<std::string> taken;
+    std::vector<std::string> locked_keys;
     std::vector<BlockRef> written;
     std::size_t bytes = 0;
-    bool must_wait = batched_write_in_flight_ || ctx_.now.steady < next_batched_write_s_;
+    bool must_wait = batched_write_in_flight_ || ctx_.now.steady < next_batched_write_at_;
     for (const BlockRef& ref : due) {
         const Job& job = *ctx_.jobs.find(ref.uid);
         auto key = job.block_key(ref.block);
@@ -296,71 +299,73 @@
         for (const auto& [task, task_exit] : pending.tasks) {
             (task_exit.is_done() ? entry.done : entry.lost).push_back({task, task_exit.attempt});
         }
-        std::size_t more = bytes_of(entry);
-        if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
+        std::size_t entry_bytes = bytes_of(entry);
+        if (must_wait || bytes + entry_bytes > batched_claims_.entry_bytes_per_write() ||
             ctx_.blocks_in_flight.contains(key)) {
             pending.needs_review = true;
             continue;
         }
-        bytes += more;
+        bytes += entry_bytes;
         entries.push_back(std::move(entry));
-        taken.push_back(key);
+        locked_keys.push_back(key);
         written.push_back(ref);
     }
     if (entries.empty()) {
         return;
     }
-    ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
+    ctx_.blocks_in_flight.insert(locked_keys.begin(), locked_keys.end());
     batched_write_in_flight_ = true;
-    next_batched_write_s_ = ctx_.now.steady + constants::batched_exit_write_interval_s;
-    batched_claims_.write(std::move(entries), {}, [this, taken, written](const StoreReply& reply) {
-        batched_write_in_flight_ = false;
-        on_write_settled(reply, taken, written);
-    });
+    next_batched_write_at_ = ctx_.now.steady + constants::batched_exit_write_interval_s;
+    batched_claims_.write(std::move(entries), {},
+                          [this, locked_keys, written](const StoreReply& reply) {
+                              batched_write_in_flight_ = false;
+                              on_write_settled(reply, locked_keys, written);
+                          });
 }
 
-// Adds the ends of one block's tasks to a transaction, if it takes them now.
+// Adds the exits of one block's tasks to a transaction. Returns false if they can't be written now:
+// the block has a write in flight, its record is too large, or the transaction is full.
 bool PendingTaskExits::add_block_exit_writes(const BlockRef& ref, Txn& txn,
-                                             std::vector<std::string>& taken) {
+                                             std::vector<std::string>& locked_keys) {
     const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(block);
     if (ctx_.blocks_in_flight.contains(key)) {
         return false;
     }
-    const Block& old = job.block(block);
-    Block next = old;
+    const Block& current = job.block(block);
+    Block next = current;
     apply_to_block(job, block, next);
-    int done = job.done() + next.done_count() - old.done_count();
+    int done = job.done() + next.done_count() - current.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
-    // Else complete_finished_jobs does it once the blocks are written.
+    // Otherwise complete_finished_jobs completes the job once its blocks are written.
     completes = completes && 1 + job.other_block_records().size() <= ctx_.ops_max();
     for (const auto& [other, record] : job.blocks) {
         completes = completes && !ctx_.blocks_in_flight.contains(job.block_key(other));
     }
     if (!completes && bytes_of(next) > ctx_.value_max()) {
-        // Written by the version before, under a larger limit.
+        // Written by the previous version, under a larger limit.
         bool fits_old_limit = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
         if (!fits_old_limit) {
             ctx_.jobs_to_split.insert(uid);
             return false;
         }
     }
-    Txn more;
-    std::vector<std::string> changed = {key};
+    Txn block_writes;
+    std::vector<std::string> changed_keys = {key};
     if (completes) {
-        changed = add_final_state_writes(ctx_, job, false, more);
+        changed_keys = add_final_state_writes(ctx_, job, false, block_writes);
     } else {
-        job.add_block_write(block, next, more);
+        job.add_block_write(block, next, block_writes);
     }
-    // One more condition is the epoch's.
-    if (txn.writes.size() + more.writes.size() > ctx_.ops_max() ||
-        txn.conditions.size() + more.conditions.size() + 1 > ctx_.conditions_max()) {
+    // The epoch adds one more condition.
+    if (txn.writes.size() + block_writes.writes.size() > ctx_.ops_max() ||
+        txn.conditions.size() + block_writes.conditions.size() + 1 > ctx_.conditions_max()) {
         return false;
     }
-    append(txn, std::move(more));
-    ctx_.blocks_in_flight.insert(changed.begin(), changed.end());
-    taken.insert(taken.end(), changed.begin(), changed.end());
+    append(txn, std::move(block_writes));
+    ctx_.blocks_in_flight.insert(changed_keys.begin(), changed_keys.end());
+    locked_keys.insert(locked_keys.end(), changed_keys.begin(), changed_keys.end());
     return true;
 }
 
--- a/src/core/agents/pending_task_exits.hpp
+++ b/src/core/agents/pending_task_exits.hpp
@@ -17,7 +17,8 @@
 
 namespace cranemoor::core {
 
-/// Why an attempt of a task is over: as its worker reports it, or as the machine's owner concludes.
+/// Why an attempt of a task is over, as reported by its worker or established by the machine's
+/// owner.
 enum class ExitCause {
     done,
     stopped,
@@ -27,9 +28,9 @@
     no_room,
     busy,
     unknown_task,
-    other,         // reported without a known reason
-    lost,          // was running and is no longer there
-    not_started,   // never started, and will not be
+    other,         // reported by its worker without a known reason
+    lost,          // was running and is no longer on its machine
+    not_started,   // never started, and will not be started
     machine_gone,  // its machine was released
 };
 
@@ -40,21 +41,21 @@
     bool saved = false;   // it made a checkpoint before it exited
     std::string machine;  // name of the machine it ran on
 
-    /// Whether the task is completed; otherwise it must run again.
+    /// Whether the task completed; otherwise it must run again.
     bool is_done() const { return cause == ExitCause::done; }
     /// Whether the task itself failed.
     bool is_failure() const {
         return cause == ExitCause::error || cause == ExitCause::unknown_task;
     }
-    /// The cause as it is logged.
+    /// The cause as logged, followed by ", saved" if a checkpoint was made.
     std::string text() const;
 };
 
 /// Task exits known to this controller and not yet durable, by job and block.
 class PendingTaskExits {
   public:
-    /// `registry` tells which machines are owned by this controller; `batched_claims` writes the
-    /// exits of batched jobs.
+    /// `registry` knows which machines this controller owns; `batched_claims` writes the exits of
+    /// batched jobs. All arguments must outlive this object.
     PendingTaskExits(Context& ctx, const Quota& quota, const AgentRegistry& registry,
                      BatchedClaims& batched_claims)
         : ctx_(ctx), quota_(quota), registry_(registry), batched_claims_(batched_claims) {}
@@ -71,7 +72,8 @@
     /// Applies the pending exits of block `block` of `job` to `next`, the block record about to be
     /// written: removes the placements and counts completions and failures.
     void apply_to_block(const Job& job, int block, Block& next) const;
-    /// Writes the exits that are due. Called once per controller tick while in the membership.
+    /// Writes the exits that are due. Called once per controller tick; does nothing while this
+    /// controller is not a member.
     void flush();
 
   private:
@@ -83,25 +85,26 @@
             return std::tie(a.uid, a.block) < std::tie(b.uid, b.block);
         }
     };
-    // Exits of one block's tasks that are not written yet.
+    // Exits of one block's tasks that have not been written yet.
     struct BlockExits {
-        std::map<int, TaskExit> tasks;
-        double since = 0;          // steady time of the oldest
-        bool needs_review = true;  // whether something changed since it was last looked at
+        std::map<int, TaskExit> tasks;  // by task index
+        double oldest_at = 0;           // steady time at which the first of them was learned
+        bool needs_review = true;       // whether something has changed since the last review
     };
 
     bool is_write_due(const Job& job, const Block& block, const BlockExits& pending) const;
     struct DueBlock {
-        bool deferrable = false;  // nothing waits for it yet
-        double since = 0;
+        bool deferrable = false;  // nothing waits for this write yet
+        double oldest_at = 0;
         BlockRef block;
     };
     std::vector<DueBlock> collect_due_blocks();
     bool goes_to_batched_record(const BlockRef& ref) const;
     void write_blocks(const std::vector<BlockRef>& due, bool deferrable);
     void write_batched(const std::vector<BlockRef>& due);
-    bool add_block_exit_writes(const BlockRef& ref, Txn& txn, std::vector<std::string>& taken);
-    void on_write_settled(const StoreReply& reply, const std::vector<std::string>& taken,
+    bool add_block_exit_writes(const BlockRef& ref, Txn& txn,
+                               std::vector<std::string>& locked_keys);
+    void on_write_settled(const StoreReply& reply, const std::vector<std::string>& locked_keys,
                           const std::vector<BlockRef>& blocks);
 
     Context& ctx_;
@@ -109,10 +112,10 @@
     const AgentRegistry& registry_;
     BatchedClaims& batched_claims_;
     bool batched_write_in_flight_ = false;
-    double next_batched_write_s_ = 0;  // steady time before which no batched write starts
+    double next_batched_write_at_ = 0;  // steady time before which no batched write starts
     std::map<BlockRef, BlockExits> pending_;
-    double next_full_scan_s_ = 0;       // steady time of the next look at all pending blocks
-    std::size_t blocks_in_flight_ = 0;  // blocks whose exits are on their way to the records
+    double next_full_scan_at_ = 0;      // steady time of the next review of all pending blocks
+    std::size_t blocks_in_flight_ = 0;  // blocks whose exit writes are in flight
 };
 
 }  // namespace cranemoor::core
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -36,9 +36,9 @@
         return;
     }
     const TaskExit* known = pending_exits_.find(*job, status.id.index);
-    bool again = known != nullptr && known->attempt == status.attempt;
+    bool already_known = known != nullptr && known->attempt == status.attempt;
     pending_exits_.add(status.id, task_exit);
-    if (again) {
+    if (already_known) {
         return;
     }
     if (task_exit.is_done() && job->spec.kind == JobKind::gang) {
@@ -54,8 +54,8 @@
     }
 }
 
-// A gang completes together: what one of its tasks reports holds for all of the attempt, and one
-// write tells it.
+// A gang completes as a whole: once one of its tasks is reported as done, all tasks of that attempt
+// are, and one write records it.
 void TaskReconciliation::record_gang_done(const Job& job, const TaskStatus& status) {
     job.each_placement([&](int task, const Placement& placement) {
         if (placement.attempt == status.attempt) {
@@ -66,23 +66,23 @@
     });
 }
 
-// A failed task speaks against its machine, until its job has failed elsewhere too. Guards against
-// machines quarantined for a job that was submitted with a mistake, however many of its tasks
-// failed there.
+// A failed task counts against its machine, until its job has failed elsewhere too. Guards against
+// the quarantine of machines because of a job that was submitted with an error, however many of its
+// tasks failed there.
 void TaskReconciliation::note_task_failure(Machine& machine, const Job& job) {
     if (!job.fails_repeatedly()) {
         machine.failed_jobs.insert(job.spec.uid);
     }
     if (machine.failed_jobs.size() >= constants::machine_failed_jobs_max) {
-        release_marks_.mark(machine, "failing tasks", false);
+        release_marks_.mark(machine, "failures of several jobs", false);
     }
     machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
 }
 
 void TaskReconciliation::reconcile(Machine& machine, bool from_heartbeat) {
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
-        const Job* job = on.job;
-        const Placement* placement = on.placement;
+    for (const auto& [id, placed_task] : registry_.site(machine).tasks) {
+        const Job* job = placed_task.job;
+        const Placement* placement = placed_task.placement;
         Attempt attempt{id, placement->attempt};
         auto status = machine.tasks.find(attempt);
         if (status != machine.tasks.end()) {
@@ -94,25 +94,28 @@
             }
             continue;
         }
-        // Absent. Only a heartbeat sent after our last reply proves it: a direct
-        // command's reply may overtake a start that is still in flight.
-        bool proof = from_heartbeat || !machine.starts_sent.contains(attempt);
-        bool lost_gang = job->spec.kind == JobKind::gang && machine.seen_running.contains(attempt);
-        if (proof && (lost_gang || !registry_.should_start(machine, *job))) {
-            ExitCause cause = lost_gang ? ExitCause::lost : ExitCause::not_started;
+        // Not in the report. Only a heartbeat sent after our last reply proves that the task is
+        // absent: a direct command's reply may overtake a start that is still in flight.
+        bool proven_absent = from_heartbeat || !machine.starts_sent.contains(attempt);
+        bool lost_gang_task =
+            job->spec.kind == JobKind::gang && machine.seen_running.contains(attempt);
+        if (proven_absent && (lost_gang_task || !registry_.should_start(machine, *job))) {
+            ExitCause cause = lost_gang_task ? ExitCause::lost : ExitCause::not_started;
             pending_exits_.add(id, {placement->attempt, cause, false, machine.name});
         }
     }
 }
 
-// The cloud provider's reply to a release is the proof that everything on the machine has ended.
+// The cloud provider's confirmation of the release is the proof that everything on the machine has
+// ended.
 void TaskReconciliation::record_exits_of_released(const std::string& name) {
-    const Cordon* mark = ctx_.jobs.cordon(name);
-    if (mark == nullptr || !mark->released) {
+    const Cordon* cordon = ctx_.jobs.cordon(name);
+    if (cordon == nullptr || !cordon->released) {
         return;
     }
-    for (const auto& [id, on] : ctx_.jobs.tasks_on_machine(name)) {
-        pending_exits_.add(id, {on.placement->attempt, ExitCause::machine_gone, false, name});
+    for (const auto& [id, placed_task] : ctx_.jobs.tasks_on_machine(name)) {
+        pending_exits_.add(id,
+                           {placed_task.placement->attempt, ExitCause::machine_gone, false, name});
     }
 }
 
--- a/src/core/agents/task_reconciliation.hpp
+++ b/src/core/agents/task_reconciliation.hpp
@@ -1,5 +1,5 @@
-// TaskReconciliation: compares the tasks that a machine reports with the job records. What has
-// ended, is lost or was never started becomes a pending exit; what should not run is stopped.
+// TaskReconciliation: compares the tasks that a machine reports with the job records. Tasks that
+// have exited, are lost or were never started become pending exits; unwanted tasks are stopped.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace cranemoor::core {
 
-/// Establishes which placed tasks have ended, and holds failures against their machine.
+/// Establishes which placed tasks have ended, and counts failures against their machine.
 class TaskReconciliation {
   public:
     /// All arguments must outlive this object.
@@ -24,11 +24,11 @@
           release_marks_(release_marks),
           task_stops_(task_stops) {}
 
-    /// Compares the machine's reported tasks with its placements. `from_heartbeat`: they come from
-    /// a heartbeat, not from the reply to a direct command, which may overtake a start.
+    /// Compares the machine's reported tasks with its placements. `from_heartbeat`: the report is a
+    /// heartbeat, not the reply to a direct command, which may overtake a start.
     void reconcile(Machine& machine, bool from_heartbeat);
-    /// Once the cloud has confirmed the release of that machine, records every task placed there
-    /// as ended ("machine gone").
+    /// If the cloud provider has confirmed the release of the machine `name`, records an exit
+    /// ("machine gone") for every task placed there; does nothing otherwise.
     void record_exits_of_released(const std::string& name);
 
   private:
