--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -6,18 +6,17 @@
 
 namespace cranemoor::core {
 
-// Looks at every machine: the silent, the faulty, the failed, and those that are no more.
 void FailureDetector::sweep() {
-    fence_cancelled();
+    fence_overdue_cancels();
     if (membership_.is_leader()) {
-        for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
-            for (const auto& name : marks.released) {
-                // Also of claims that came after the machine's end.
+        for (const auto& [key, batch] : ctx_.jobs.cordon_batches()) {
+            for (const auto& name : batch.released) {
+                // Also the tasks of claims that were made after the machine's release.
                 reconciliation_.record_exits_of_released(name);
             }
         }
     }
-    SilentMachines silent = count_silent_machines();
+    SilentMachines silent_machines = count_silent_machines();
     for (std::size_t i = 0; i < registry_.all().size();) {
         Machine& machine = *registry_.all()[i];
         if (can_forget(machine)) {
@@ -31,38 +30,40 @@
         }
         if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).cordon) {
             task_stops_.checkpoint_before_interruption(machine);
-            check_liveness(machine, silent);
+            check_liveness(machine, silent_machines);
         }
     }
 }
 
-// A cancelled task that is still somewhere well after its user was told: its machine can't be
-// reached, and must be released before the time is up. Its owner does it, who knows what has ended.
-// Guards against machines released, with all else that ran on them, for ends that only wait to be
-// written: their work then came back and made the wait longer.
-void FailureDetector::fence_cancelled() {
+// A cancelled task is still placed long after its cancellation was acknowledged: its machine can't
+// be reached, and must be released before the cancellation deadline. The machine's owner does this,
+// as it knows which tasks have ended. Guards against the release of machines, with all other tasks
+// on them, because of exits that only wait to be written: the lost tasks then had to run again and
+// made the wait longer.
+void FailureDetector::fence_overdue_cancels() {
     for (Machine* machine : machines_with_overdue_cancels()) {
-        release_marks_.mark(*machine, "cancelled task still there", true);
+        release_marks_.mark(*machine, "cancelled task not confirmed stopped", true);
     }
 }
 
-// Machines that are past the time for a cancelled task and send no heartbeats and answer no probe,
-// and those with a mark that says so: what must be released even by somebody who can write nothing
-// down.
-std::set<std::string> FailureDetector::overdue_and_silent() {
+// Machines that are overdue with a cancelled task, send no heartbeats and answer no probe, and
+// machines with a fencing cordon: they must be released even by a controller that can't write to
+// the key-value store.
+std::set<std::string> FailureDetector::machines_to_release_without_store() {
     std::set<std::string> names;
     for (const Machine* machine : machines_with_overdue_cancels()) {
-        // Who answers a probe is alive, and only sends its heartbeats to another by now.
+        // A worker that answers a probe is alive, and only sends its heartbeats to another
+        // controller by now.
         if (machine->probe_failures > 0 &&
             silent_for_s(*machine) > registry_.heartbeat_timeout_s()) {
             names.insert(machine->name);
         }
     }
-    for (const auto& [key, marks] : ctx_.jobs.cordon_batches()) {
-        for (const auto& name : marks.machines) {
+    for (const auto& [key, batch] : ctx_.jobs.cordon_batches()) {
+        for (const auto& name : batch.machines) {
             const Machine* machine = registry_.find(name);
-            bool ours = machine != nullptr ? machine->owned_by_us : membership_.is_leader();
-            if (marks.fence && !marks.released.contains(name) && ours) {
+            bool responsible = machine != nullptr ? machine->owned_by_us : membership_.is_leader();
+            if (batch.fence && !batch.released.contains(name) && responsible) {
                 names.insert(name);
             }
         }
@@ -73,23 +74,23 @@
 std::set<Machine*> FailureDetector::machines_with_overdue_cancels() {
     std::set<Machine*> machines;
     double limit_s = ctx_.settings.cancel_deadline_s * constants::cancel_fence_share;
-    double last_limit_s =
+    double takeover_limit_s =
         ctx_.settings.cancel_deadline_s * constants::cancel_fence_after_takeover_share;
     for (const auto& uid : ctx_.jobs.cancelled_jobs()) {
         const Job& job = ctx_.jobs.jobs().at(uid);
-        double since_s = ctx_.now.wall - job.cancelled_wall;
-        if (since_s < limit_s) {
+        double cancelled_for_s = ctx_.now.wall - job.cancelled_wall;
+        if (cancelled_for_s < limit_s) {
             continue;
         }
         job.each_placement([&](int task, const Placement& placement) {
             Machine* machine = registry_.find(placement.machine);
             const TaskExit* task_exit = pending_exits_.find(job, task);
-            bool ended = task_exit != nullptr && task_exit->attempt == placement.attempt;
-            // Just taken over: what ended there before is known with its first heartbeat.
+            bool exit_known = task_exit != nullptr && task_exit->attempt == placement.attempt;
+            // Just taken over: its first heartbeat shows which tasks have already ended there.
             bool recently_taken_over =
-                machine != nullptr && !machine->adopted && since_s < last_limit_s &&
+                machine != nullptr && !machine->adopted && cancelled_for_s < takeover_limit_s &&
                 ctx_.now.steady - machine->owned_since < registry_.heartbeat_timeout_s();
-            if (machine != nullptr && machine->owned_by_us && !ended && !recently_taken_over) {
+            if (machine != nullptr && machine->owned_by_us && !exit_known && !recently_taken_over) {
                 machines.insert(machine);
             }
             return true;
@@ -98,14 +99,14 @@
     return machines;
 }
 
-bool FailureDetector::SilentMachines::Count::is_suspect() const {
+bool FailureDetector::SilentMachines::Count::suggests_partition() const {
     return silent > constants::partition_silent_machines_tolerated_max &&
            silent > owned * constants::partition_silent_share;
 }
 
-// When most machines fall silent at once, this process's own network is the likelier cause; when
-// most of another zone do, that zone is partitioned. Inside it work goes on and its images stay:
-// releasing hundreds of healthy machines would cost more than waiting for them.
+// If most machines fall silent at once, this controller's own network is the more likely cause; if
+// most machines of another zone do, that zone is partitioned. Tasks in it keep running and cached
+// images stay: releasing hundreds of healthy machines would cost more than waiting for them.
 FailureDetector::SilentMachines FailureDetector::count_silent_machines() {
     SilentMachines result;
     int relayed = 0;
@@ -118,16 +119,16 @@
         zones[machine->zone].add(is_silent);
         if (machine->heartbeat_received && machine->adopted) {
             result.adopted.add(is_silent);
-            bool lately_relayed =
+            bool recently_relayed =
                 machine->last_heartbeat_relayed &&
                 ctx_.now.steady - machine->last_heartbeat_at < constants::relay_failover_s;
-            relayed += lately_relayed ? 1 : 0;
+            relayed += recently_relayed ? 1 : 0;
         }
     }
     result.partitioned_from_workers = partitioned_from_workers(result.adopted.owned, relayed);
     std::set<std::string> partitioned_zones;
     for (const auto& [zone, count] : zones) {
-        if (zone != ctx_.settings.zone && count.is_suspect()) {
+        if (zone != ctx_.settings.zone && count.suggests_partition()) {
             partitioned_zones.insert(zone);
         }
     }
@@ -139,9 +140,9 @@
     return ctx_.now.steady - std::max(machine.last_heartbeat_at, machine.owned_since);
 }
 
-// Whether the way between this process and its machines is more likely to be cut than they are to
-// be gone: their heartbeats come by way of other controllers, or none has come for much longer than
-// there should be between any two.
+// Whether a partition between this controller and its machines is more likely than their failure:
+// their heartbeats are relayed by other controllers, or none has come for much longer than the
+// usual interval between any two.
 bool FailureDetector::partitioned_from_workers(int owned, int relayed) const {
     double now = ctx_.now.steady;
     double interval_s = ctx_.settings.heartbeat_interval_s * constants::heartbeat_interval_factor /
@@ -153,70 +154,73 @@
             now - last_direct_heartbeat_at_ > gap_s);
 }
 
-// Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
+// Whether nothing refers to the machine any more, so that it can be dropped. Also updates
+// release_confirmed from the machine's cordon.
 bool FailureDetector::can_forget(Machine& machine) const {
-    const auto& mark = registry_.site(machine).cordon;
-    bool placed = !registry_.site(machine).tasks.empty();
-    if (mark && mark->released) {
+    const auto& cordon = registry_.site(machine).cordon;
+    bool has_placements = !registry_.site(machine).tasks.empty();
+    if (cordon && cordon->released) {
         machine.release_confirmed = true;
-    } else if (machine.release_confirmed && !mark && !machine.awaiting_reply) {
-        if (!placed) {
-            return true;  // its mark was retired
+    } else if (machine.release_confirmed && !cordon && !machine.awaiting_reply) {
+        if (!has_placements) {
+            return true;  // its cordon record was removed
         }
-        // A claim came as late as that: its end must be proved once more.
+        // A claim came even after that: the end of its task must be proved anew.
         machine.release_confirmed = false;
         machine.heartbeat_received = machine.adopted = false;
         machine.address.clear();
     }
-    return !placed && !mark && !machine.awaiting_reply &&
+    return !has_placements && !cordon && !machine.awaiting_reply &&
            silent_for_s(machine) > constants::gone_cordon_ttl_s &&
            ctx_.now.steady - machine.listed_at > constants::gone_cordon_ttl_s;
 }
 
 // Seconds without a heartbeat after which a machine is fenced.
-double FailureDetector::fence_after_s(const Machine& machine, const SilentMachines& silent) const {
+double FailureDetector::fence_after_s(const Machine& machine,
+                                      const SilentMachines& silent_machines) const {
     double limit_s = registry_.heartbeat_timeout_s();
-    if (silent.adopted.silent == silent.adopted.owned || silent.partitioned_from_workers) {
-        // Perhaps only the way to it is cut: a worker needs this long to come back by way of
+    if (silent_machines.adopted.silent == silent_machines.adopted.owned ||
+        silent_machines.partitioned_from_workers) {
+        // Perhaps only the connection to the machine is cut: a worker needs this long to switch to
         // another controller, which relays its heartbeats. Guards against the release of hundreds
         // of healthy machines by a controller that is cut off from them.
         limit_s = std::max(
             limit_s, constants::relay_failover_s +
                          ctx_.settings.heartbeat_interval_s * constants::heartbeat_interval_factor);
     }
-    if (silent.adopted.is_suspect()) {
+    if (silent_machines.adopted.suggests_partition()) {
         limit_s = ctx_.settings.lease_s + registry_.heartbeat_timeout_s();
     }
     if (registry_.zone_partitioned(machine.zone)) {
-        // By then every lease there has ended; starting anew costs about a boot.
+        // By then every lease in the zone has expired; a replacement machine costs about one boot.
         limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.longest_boot_s());
     }
     return limit_s;
 }
 
-void FailureDetector::check_liveness(Machine& machine, const SilentMachines& silent) {
+void FailureDetector::check_liveness(Machine& machine, const SilentMachines& silent_machines) {
     double silent_s = silent_for_s(machine);
-    bool placed = !registry_.site(machine).tasks.empty();
+    bool has_placements = !registry_.site(machine).tasks.empty();
     if (machine.listed_state == ListedState::failed) {
         release_marks_.mark(machine, "failed", true);
-    } else if (placed && machine.address.empty() &&
+    } else if (has_placements && machine.address.empty() &&
                silent_s > constants::first_heartbeat_timeout_s) {
-        // Placed by a claim on a machine that nobody lists any more: it can't be probed.
-        release_marks_.mark(machine, "unknown", true);
-    } else if (machine.heartbeat_received || placed) {
-        double limit_s = fence_after_s(machine, silent);
+        // Placed by a claim on a machine that is no longer listed: without address, no probe.
+        release_marks_.mark(machine, "unlisted, no heartbeat", true);
+    } else if (machine.heartbeat_received || has_placements) {
+        double limit_s = fence_after_s(machine, silent_machines);
         if (silent_s > limit_s && machine.probe_failures > 0) {
-            release_marks_.mark(machine, "silent", true);
+            release_marks_.mark(machine, "no heartbeat, no probe reply", true);
         } else if (silent_s > limit_s - constants::direct_command_timeout_s) {
             probe(machine);
         }
     } else if (machine.running_since >= 0 && !registry_.zone_partitioned(machine.zone) &&
                ctx_.now.steady - std::max(machine.running_since, machine.owned_since) >
                    constants::first_heartbeat_timeout_s) {
-        release_marks_.mark(machine, "never reported", true);
+        release_marks_.mark(machine, "no first heartbeat", true);
     }
-    if (machine.interruption_deadline && !placed && machine.heartbeat_received) {
-        release_marks_.mark(machine, "taken away soon", false);
+    if (machine.interruption_deadline && !has_placements && machine.heartbeat_received) {
+        release_marks_.mark(machine, "spot interruption notice", false);
     }
 }
 
@@ -235,8 +239,8 @@
         }
         machine->probe_in_flight = false;
         if (reply.answered) {
-            // Alive, but its heartbeats go elsewhere or don't get through: the raised
-            // token makes it turn away from whoever replies to it wrongly.
+            // Alive, but its heartbeats go elsewhere or don't get through: the raised fencing
+            // token makes the worker leave any controller that replies to it wrongly.
             machine->probe_failures = 0;
             if (reply.heartbeat) {
                 machine->agent_epoch = std::max(machine->agent_epoch, reply.heartbeat->agent_epoch);
--- a/src/core/agents/failure_detector.hpp
+++ b/src/core/agents/failure_detector.hpp
@@ -1,6 +1,6 @@
-// FailureDetector: finds machines that are silent, faulty, failed or gone. A silent machine is
-// probed, then marked for release and fencing; more slowly if a network partition is the likelier
-// cause.
+// FailureDetector: finds machines that send no heartbeats, have failed or are gone. A silent
+// machine is probed, then marked for release and fencing; later than usual if a network partition
+// is the more likely cause.
 #pragma once
 
 #include <set>
@@ -17,7 +17,7 @@
 
 namespace cranemoor::core {
 
-/// The periodic sweep of all machines.
+/// Checks the liveness of all machines in a periodic sweep, and marks those to be released.
 class FailureDetector {
   public:
     /// All arguments must outlive this object.
@@ -34,17 +34,17 @@
           reconciliation_(reconciliation),
           adoption_(adoption) {}
 
-    /// Looks at every machine: drops those that are gone, repeats stops, probes the silent and
-    /// marks for release what has failed.
+    /// Checks every machine: drops those that are gone, repeats stops, probes silent machines and
+    /// marks failed ones for release.
     void sweep();
-    /// Notes that a heartbeat came from one of our machines itself, not relayed by a peer.
+    /// Notes that a heartbeat came directly from one of our machines, not relayed by a peer.
     void note_direct_heartbeat() { last_direct_heartbeat_at_ = ctx_.now.steady; }
-    /// Names of machines that must be released even by a controller that cannot write to the
-    /// key-value store: silent ones past the deadline of a cancelled task, and fenced marks.
-    std::set<std::string> overdue_and_silent();
+    /// Names of machines that must be released even by a controller that can't write to the
+    /// key-value store: silent ones overdue with a cancelled task, and those with a fencing cordon.
+    std::set<std::string> machines_to_release_without_store();
 
   private:
-    // How many of this controller's machines are silent, as one sweep finds them.
+    // How many of this controller's machines are silent, counted once per sweep.
     struct SilentMachines {
         struct Count {
             int owned = 0;
@@ -53,10 +53,10 @@
                 ++owned;
                 silent += is_silent ? 1 : 0;
             }
-            // Whether too many are silent at once to be the machines' own doing.
-            bool is_suspect() const;
+            // Whether so many are silent at once that a partition is likelier than their failure.
+            bool suggests_partition() const;
         };
-        Count adopted;  // of the machines that it has adopted
+        Count adopted;  // among the machines that this controller has adopted
         bool partitioned_from_workers = false;
     };
 
@@ -65,9 +65,9 @@
     bool partitioned_from_workers(int owned, int relayed) const;
     bool can_forget(Machine& machine) const;
     std::set<Machine*> machines_with_overdue_cancels();
-    void fence_cancelled();
-    double fence_after_s(const Machine& machine, const SilentMachines& silent) const;
-    void check_liveness(Machine& machine, const SilentMachines& silent);
+    void fence_overdue_cancels();
+    double fence_after_s(const Machine& machine, const SilentMachines& silent_machines) const;
+    void check_liveness(Machine& machine, const SilentMachines& silent_machines);
     void probe(Machine& machine);
 
     Context& ctx_;
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -69,7 +69,7 @@
     }
     next_unrecorded_at_ = ctx_.now.steady + constants::unrecorded_release_interval_s;
     std::vector<std::string> machines;
-    for (const auto& name : agent_manager_.failure_detector().overdue_and_silent()) {
+    for (const auto& name : agent_manager_.failure_detector().machines_to_release_without_store()) {
         if (!released_unrecorded_.contains(name) &&
             machines.size() < constants::release_machines_max) {
             machines.push_back(name);
