--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -2,7 +2,7 @@
 
 namespace cranemoor::core {
 
-bool GangPreemption::would_save(const Job& job) {
+bool GangPreemption::can_checkpoint(const Job& job) {
     const JobSpec& spec = job.spec;
     return spec.kind == JobKind::gang && spec.checkpoint_s > 0 && job.placed() == spec.tasks &&
            !job.cancelled;
@@ -13,7 +13,7 @@
         return false;
     }
     int placed = job.placed();
-    // Once a task of a gang is done, all are; stragglers then finish one by one.
+    // Once one task of a gang is done, all are; the remaining tasks then finish one by one.
     return placed > 0 && job.done() == 0 && placed < job.spec.tasks;
 }
 
@@ -33,7 +33,8 @@
     txn.conditions.push_back(ctx_.epoch_condition());
     job.add_block_write(0, next, txn);
     ctx_.blocks_in_flight.insert(key);
-    ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
+    ctx_.info("gang {}: preempting attempt {} with a checkpoint ({})", job.spec.uid, next.attempt,
+              why);
     ctx_.txn(std::move(txn), [this, key](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, key] { ctx_.blocks_in_flight.erase(key); });
     });
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -18,38 +18,38 @@
 }
 
 void TaskStops::stop(Machine& machine, const Attempt& attempt, double grace_s) {
-    auto [entry, first] = machine.pending_stops.try_emplace(attempt);
-    if (!first && entry->second.grace_s <= grace_s) {
+    auto [entry, inserted] = machine.pending_stops.try_emplace(attempt);
+    if (!inserted && entry->second.grace_s <= grace_s) {
         return;
     }
-    if (first) {
-        ctx_.info("stop {} attempt {} on {}, grace {:.1f} s", attempt.task.text(), attempt.number,
-                  machine.name, grace_s);
+    if (inserted) {
+        ctx_.info("stop {} attempt {} on {}, grace period {:.1f} s", attempt.task.text(),
+                  attempt.number, machine.name, grace_s);
         entry->second.first_requested_at = ctx_.now.steady;
     }
     entry->second.grace_s = grace_s;
     if (machine.adopted && machine.heartbeat_received) {
         send(machine, attempt, entry->second);
-        // A worker with a heartbeat in flight could not tell that the task ended.
+        // While its heartbeat waits for a reply, the worker could not report the task's exit.
         replies_.send(machine);
     }
 }
 
-// A task that must end: its job was cancelled, its gang lost a part, or is to be stopped whole.
-// Once one of its tasks has ended the gang has saved, or never will.
+// Tasks of a cancelled job or an incomplete gang get no grace period: once one task of a gang has
+// ended, the gang has made its checkpoint or never will.
 void TaskStops::stop_unwanted(Machine& machine, const Job& job, const TaskId& id,
                               const Placement& placement) {
-    bool at_once = job.cancelled || GangPreemption::is_incomplete(job);
-    if (!machine.owned_by_us || !machine.adopted || !(at_once || job.gang_stop_requested())) {
+    bool immediately = job.cancelled || GangPreemption::is_incomplete(job);
+    if (!machine.owned_by_us || !machine.adopted || !(immediately || job.gang_stop_requested())) {
         return;
     }
     Attempt attempt{id, placement.attempt};
     auto status = machine.tasks.find(attempt);
     bool exited = status != machine.tasks.end() && status->second.state == TaskState::exited;
-    // A start that has gone out but isn't reported yet must be stopped as well.
-    bool there = status != machine.tasks.end() || machine.starts_sent.contains(attempt);
-    if (there && !exited) {
-        stop(machine, attempt, at_once ? 0 : job.spec.save_s);
+    // A start that has been sent but isn't reported yet must be stopped as well.
+    bool present = status != machine.tasks.end() || machine.starts_sent.contains(attempt);
+    if (present && !exited) {
+        stop(machine, attempt, immediately ? 0 : job.spec.save_s);
     }
 }
 
@@ -59,38 +59,40 @@
         if (machine.adopted && now - stop.last_sent_at >= constants::stop_retry_interval_s) {
             if (stop.grace_s > 0 &&
                 now - stop.first_requested_at > stop.grace_s + ctx_.settings.gang_stop_window_s) {
-                stop.grace_s = 0;  // it should have saved by now
+                stop.grace_s = 0;  // the task should have made its checkpoint by now
             }
             send(machine, attempt, stop);
         }
     }
 }
 
-// Before a machine is taken away, what can save on it does: its progress since the last checkpoint
-// would be lost, and it starts elsewhere the sooner. As late as it may be, since what runs may end.
+// Tasks that can checkpoint do so before a spot interruption: otherwise their progress since the
+// last checkpoint is lost, and they start elsewhere sooner. They are stopped as late as possible,
+// since they may finish before.
 void TaskStops::checkpoint_before_interruption(Machine& machine) {
     if (!machine.interruption_deadline || !machine.adopted) {
         return;
     }
-    double left_s = *machine.interruption_deadline - ctx_.now.steady;
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
-        const JobSpec& spec = on.job->spec;
-        Attempt attempt{id, on.placement->attempt};
+    double until_interruption_s = *machine.interruption_deadline - ctx_.now.steady;
+    for (const auto& [id, placed_task] : registry_.site(machine).tasks) {
+        const JobSpec& spec = placed_task.job->spec;
+        Attempt attempt{id, placed_task.placement->attempt};
         auto status = machine.tasks.find(attempt);
         if (spec.checkpoint_s <= 0 || spec.kind == JobKind::service ||
             status == machine.tasks.end() || status->second.state != TaskState::running) {
             continue;
         }
         double remaining_s = spec.estimate_s - (ctx_.now.steady - registry_.placed_at(id));
-        bool ends_first = remaining_s > 0 && remaining_s < left_s;
-        if (left_s > spec.save_s + constants::spot_checkpoint_margin_s || ends_first) {
+        bool finishes_first = remaining_s > 0 && remaining_s < until_interruption_s;
+        if (until_interruption_s > spec.save_s + constants::spot_checkpoint_margin_s ||
+            finishes_first) {
             continue;
         }
         if (spec.kind == JobKind::array || spec.tasks == 1) {
             stop(machine, attempt, spec.save_s);
-        } else if (GangPreemption::would_save(*on.job)) {
-            gang_preemption_.request_preemption(*on.job,
-                                                "its machine " + machine.name + " is taken away");
+        } else if (GangPreemption::can_checkpoint(*placed_task.job)) {
+            gang_preemption_.request_preemption(
+                *placed_task.job, "machine " + machine.name + " has a spot interruption notice");
         }
     }
 }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -40,7 +40,7 @@
         return false;  // it has less than its floor
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
-        (!GangPreemption::would_save(victim) || victim.gang_stop_requested() ||
+        (!GangPreemption::can_checkpoint(victim) || victim.gang_stop_requested() ||
          waited < constants::gang_victim_wait_s)) {
         return false;  // all of it would have to be stopped with the one task that is in the way
     }
