--- a/src/core/agents/job_arrivals.cpp
+++ b/src/core/agents/job_arrivals.cpp
@@ -11,8 +11,8 @@
     if (registry_.needs_whole_machine(job.spec)) {
         whole_machine_jobs_.try_emplace(uid, Arrival{job.eligible_wall(), job.spec.tasks});
     }
-    // Without checkpoints a machine that is taken back costs all the work on it: such jobs
-    // use cheap machines that are there, but none are kept for them.
+    // Without checkpoints a spot interruption loses all the work on the machine: such jobs
+    // use spot machines that exist already, but none are kept for them.
     if (job.spec.spot && job.spec.checkpoint_s > 0) {
         spot_jobs_.try_emplace(uid, Arrival{job.eligible_wall(), job.spec.tasks});
     }
@@ -23,7 +23,7 @@
     for (const auto& [uid, arrival] : whole_machine_jobs_) {
         if (arrival.submitted_wall >= since_wall) {
             arrivals.machines += arrival.tasks;
-            arrivals.squares += static_cast<double>(arrival.tasks) * arrival.tasks;
+            arrivals.sum_of_squares += static_cast<double>(arrival.tasks) * arrival.tasks;
         }
     }
     return arrivals;
--- a/src/core/agents/job_arrivals.hpp
+++ b/src/core/agents/job_arrivals.hpp
@@ -10,10 +10,10 @@
 
 namespace cranemoor::core {
 
-/// Machines taken whole by the jobs submitted in some span of time.
+/// Whole machines requested by the jobs submitted within some period.
 struct WholeMachineArrivals {
-    double machines = 0;  // sum over the jobs
-    double squares = 0;   // sum of the squares of each job's machines
+    double machines = 0;        // sum over the jobs
+    double sum_of_squares = 0;  // sum over the jobs of the square of each job's machines
 };
 
 /// The submissions of the last `constants::arrivals_history_s` seconds, as the job records show
@@ -23,11 +23,12 @@
     /// `ctx` and `registry` must outlive this object.
     JobArrivals(Context& ctx, const AgentRegistry& registry) : ctx_(ctx), registry_(registry) {}
 
-    /// Notes the submission of a job, unless it is old or the job still waits for others.
+    /// Records the submission of a job, unless it is too old to count or the job still waits for
+    /// its dependencies.
     void note(const std::string& uid, const Job& job);
-    /// Machines that jobs submitted since that wall time take whole.
+    /// Whole machines requested by the jobs submitted since this wall time.
     WholeMachineArrivals whole_machine_arrivals(double since_wall) const;
-    /// Jobs submitted since that wall time that may use spot machines.
+    /// Number of jobs submitted since this wall time that checkpoint and may use spot machines.
     double spot_arrivals(double since_wall) const;
     /// Drops the submissions that are too old to count.
     void forget_old();
--- a/src/core/agents/job_failures.cpp
+++ b/src/core/agents/job_failures.cpp
@@ -4,8 +4,8 @@
 
 namespace cranemoor::core {
 
-// Failures are counted in the job's blocks, with the ends that are written anyway: every member
-// knows of them, also after a failover. The pause begins when they are seen.
+// Failures are counted in the job's block records, in the writes that record exits anyway: every
+// member knows them, also after a failover. The pause begins when this controller sees the count.
 void JobFailures::note(const std::string& uid, const Job& job) {
     if (job.consecutive_failures == 0) {
         pauses_.erase(uid);
--- a/src/core/agents/job_failures.hpp
+++ b/src/core/agents/job_failures.hpp
@@ -9,23 +9,23 @@
 
 namespace cranemoor::core {
 
-/// What this controller makes of the failures that are counted in the jobs' block records.
+/// The pauses that this controller derives from the failure counts in the jobs' block records.
 class JobFailures {
   public:
     /// `ctx` and `registry` must outlive this object.
     JobFailures(Context& ctx, const AgentRegistry& registry) : ctx_(ctx), registry_(registry) {}
 
-    /// Takes in the failure count of a job that changed. Once the job is doubtful it is paused, and
-    /// its failures no longer count against the machines they happened on.
+    /// Updates the pause from the failure count of a changed job. Once the job fails repeatedly it
+    /// is paused, and its failures no longer count against the machines they happened on.
     void note(const std::string& uid, const Job& job);
-    /// Drops what is known of a job that is no more.
+    /// Drops the pause of a job that no longer exists.
     void forget(const std::string& uid);
-    /// A job whose tasks keep failing gets no new claims before this steady time.
+    /// Steady time before which the job gets no new claims; `never_s` if it has not been paused.
     double pause_until(const std::string& uid) const;
 
   private:
     struct Pause {
-        int failures = 0;  // the count that it was computed from
+        int failures = 0;  // failure count that the pause was computed from
         double until = never_s;
     };
 
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -16,28 +16,29 @@
 }
 
 void ReleaseMarks::write() {
-    auto waiting = std::exchange(pending_, {});
+    auto unwritten = std::exchange(pending_, {});
     Batch batch;
     batch.txn.purpose = Txn::Purpose::release_mark;
-    for (const auto& [reason, names] : waiting) {
-        CordonBatch marks;
-        marks.reason = reason.why;
-        marks.fence = reason.fence;
+    for (const auto& [reason, names] : unwritten) {
+        CordonBatch cordons;
+        cordons.reason = reason.why;
+        cordons.fence = reason.fence;
         auto next = names.begin();
         while (next != names.end()) {
-            marks.machines.clear();
-            // Each name stands there twice once its machine is gone.
+            cordons.machines.clear();
+            // A name is in the record twice once its machine is gone; cordon_bytes() counts both.
             std::size_t bytes = constants::cordon_batch_overhead_bytes + reason.why.size();
-            while (next != names.end() && marks.machines.size() < constants::release_machines_max &&
-                   (marks.machines.empty() || bytes + cordon_bytes(*next) <= ctx_.value_max())) {
+            while (next != names.end() &&
+                   cordons.machines.size() < constants::release_machines_max &&
+                   (cordons.machines.empty() || bytes + cordon_bytes(*next) <= ctx_.value_max())) {
                 bytes += cordon_bytes(*next);
-                marks.machines.insert(*next);
+                cordons.machines.insert(*next);
                 batch.machines.insert(*next);
                 ++next;
             }
             auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
             batch.txn.conditions.push_back({key, 0});
-            batch.txn.writes.push_back({key, encode(marks)});
+            batch.txn.writes.push_back({key, encode(cordons)});
             if (batch.txn.writes.size() >= ctx_.ops_max()) {
                 send(batch);
             }
