--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -40,7 +40,7 @@
         return false;  // the victim's flow is below its own minimum share
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
-        (!GangPreemption::would_save(victim) || victim.gang_stop_requested() ||
+        (!GangPreemption::can_checkpoint(victim) || victim.gang_stop_requested() ||
          waited_s < constants::gang_victim_wait_s)) {
         return false;  // a gang can only be stopped whole, not just the task that is in the way
     }
