--- a/src/core/agents/agent_manager.cpp
+++ b/src/core/agents/agent_manager.cpp
@@ -21,22 +21,23 @@
       heartbeat_handler_(ctx, membership, registry_, replies_, reconciliation_, adoption_,
                          failure_detector_) {}
 
-void AgentManager::handle_heartbeat(std::uint64_t request, const Heartbeat& report, bool relayed) {
-    heartbeat_handler_.handle(request, report, relayed);
+void AgentManager::handle_heartbeat(std::uint64_t request, const Heartbeat& heartbeat,
+                                    bool relayed) {
+    heartbeat_handler_.handle(request, heartbeat, relayed);
 }
 
-void AgentManager::epoch_changed(const std::optional<Epoch>& before) {
-    adoption_.epoch_changed(before);
+void AgentManager::epoch_changed(const std::optional<Epoch>& previous) {
+    adoption_.epoch_changed(previous);
 }
 
-void AgentManager::records_changed(const std::set<std::string>& touched) {
+void AgentManager::records_changed(const std::set<std::string>& changed_uids) {
     for (const auto& [id, placement] : ctx_.jobs.take_new_placements()) {
-        registry_.note_placement(id, placement);
+        registry_.record_placement(id, placement);
     }
     for (const auto& name : ctx_.jobs.take_changed_machines()) {
         machine_records_changed(name);
     }
-    for (const auto& uid : touched) {
+    for (const auto& uid : changed_uids) {
         job_changed(uid);
     }
 }
@@ -49,8 +50,8 @@
     if (machine == nullptr) {
         return;
     }
-    machine->room_known = false;
-    registry_.note_empty(*machine);
+    machine->free_resources_valid = false;
+    registry_.update_empty_since(*machine);
     replies_.send_if_due(*machine);
 }
 
@@ -64,7 +65,9 @@
     job_arrivals_.note(uid, *job);
     job_failures_.note(uid, *job);
     if (!job->cancelled && !GangPreemption::is_incomplete(*job) && !job->gang_stop_requested()) {
-        return;  // a job of many thousand tasks changes many times a second
+        // Nothing to stop. A job with thousands of tasks changes many times a second, too often to
+        // visit each of its placements.
+        return;
     }
     job->each_placement([&](int task, const Placement& placement) {
         if (Machine* machine = registry_.find(placement.machine)) {
@@ -81,8 +84,8 @@
 void AgentManager::tick() {
     adoption_.raise_queued_tokens();
     release_marks_.write();
-    if (ctx_.now.steady >= next_sweep_) {
-        next_sweep_ = ctx_.now.steady + constants::machine_check_interval_s;
+    if (ctx_.now.steady >= next_sweep_at_) {
+        next_sweep_at_ = ctx_.now.steady + constants::machine_check_interval_s;
         prune_expired();
         failure_detector_.sweep();
     }
@@ -91,10 +94,10 @@
 }
 
 void AgentManager::prune_expired() {
-    if (ctx_.now.steady < next_prune_) {
+    if (ctx_.now.steady < next_prune_at_) {
         return;
     }
-    next_prune_ = ctx_.now.steady + constants::placement_prune_interval_s;
+    next_prune_at_ = ctx_.now.steady + constants::placement_prune_interval_s;
     ctx_.jobs.forget_unused_machines();
     registry_.forget_ended_placements();
     heartbeat_handler_.forget_old_redirects();
--- a/src/core/agents/agent_manager.hpp
+++ b/src/core/agents/agent_manager.hpp
@@ -1,5 +1,5 @@
-// AgentManager: composes the modules that look after the worker machines (agents) and passes inputs
-// and ticks on to them.
+/// AgentManager: composes the modules that manage the worker machines (agents) and passes inputs
+/// and ticks on to them.
 #pragma once
 
 #include <cstdint>
@@ -26,45 +26,45 @@
 
 namespace cranemoor::core {
 
-/// The worker machines as this controller handles them. Pure core: all input and output goes
-/// through the Context (ctx.out, ctx.order, ctx.txn, ctx.peer). Users of one concern take the
-/// module for it, not the manager.
+/// Manages the worker machines of this controller; all input and output goes through the `Context`.
+/// Callers that need one concern should take the module for it, not the manager.
 class AgentManager {
   public:
     /// All arguments must outlive this object.
     AgentManager(Context& ctx, const Membership& membership, const Quota& quota,
                  BatchedClaims& batched_claims);
 
-    /// Takes in one heartbeat of a worker; see HeartbeatHandler::handle().
-    void handle_heartbeat(std::uint64_t request, const Heartbeat& report, bool relayed);
-    /// The membership epoch changed from `before`; see MachineAdoption::epoch_changed().
-    void epoch_changed(const std::optional<Epoch>& before);
-    /// The job records changed; `touched` holds the uids of the jobs that changed.
-    void records_changed(const std::set<std::string>& touched);
-    /// Merges the cloud provider's listing of machines and queues those newly ours for adoption.
+    /// Handles one heartbeat of a worker; see `HeartbeatHandler::handle`.
+    void handle_heartbeat(std::uint64_t request, const Heartbeat& heartbeat, bool relayed);
+    /// The membership epoch changed from `previous`; see `MachineAdoption::epoch_changed`.
+    void epoch_changed(const std::optional<Epoch>& previous);
+    /// The job records changed; `changed_uids` are the uids of the jobs that changed.
+    void records_changed(const std::set<std::string>& changed_uids);
+    /// Merges the cloud provider's listing of machines and queues newly owned machines for
+    /// adoption.
     void apply_cloud_listing(const std::vector<ListedMachine>& listing);
-    /// Periodic work: token raises, release marks, the sweep of all machines, writes of task exits
-    /// and the heartbeat replies that have become due.
+    /// Periodic work: fencing-token raises, writes of cordons and of task exits, the sweep of all
+    /// machines, and the heartbeat replies that have become due.
     void tick();
 
-    /// The machines, their types, free room and cached images.
+    /// The machines, their types, free resources and cached images.
     AgentRegistry& registry() { return registry_; }
     const AgentRegistry& registry() const { return registry_; }
     /// Recent submissions of jobs that need whole machines or may use spot machines.
     const JobArrivals& job_arrivals() const { return job_arrivals_; }
-    /// The pauses of jobs whose tasks keep failing.
+    /// The backoff of jobs whose tasks keep failing.
     const JobFailures& job_failures() const { return job_failures_; }
     /// The graceful preemption of whole gangs.
     GangPreemption& gang_preemption() { return gang_preemption_; }
-    /// Task exits known here, not all of them durable yet.
+    /// Task exits known here, some of them not durable yet.
     const PendingTaskExits& pending_exits() const { return pending_exits_; }
-    /// Marks machines for release.
+    /// Cordons machines that are to be released.
     ReleaseMarks& release_marks() { return release_marks_; }
-    /// The heartbeats that wait for their replies.
+    /// The heartbeats that have not been answered yet.
     HeartbeatReplies& replies() { return replies_; }
     /// Stops tasks.
     TaskStops& task_stops() { return task_stops_; }
-    /// Finds silent and failed machines.
+    /// Detects silent and failed machines.
     FailureDetector& failure_detector() { return failure_detector_; }
 
   private:
@@ -86,8 +86,8 @@
     MachineAdoption adoption_;
     FailureDetector failure_detector_;
     HeartbeatHandler heartbeat_handler_;
-    double next_sweep_ = 0;  // steady times, in seconds
-    double next_prune_ = 0;
+    double next_sweep_at_ = 0;  // steady-clock seconds
+    double next_prune_at_ = 0;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -41,12 +41,12 @@
     machines_.erase(entry);
 }
 
-const MachinePlacements& AgentRegistry::site(const Machine& machine) const {
-    if (machine.site == nullptr || machine.site_of != ctx_.jobs.load_count()) {
-        machine.site = ctx_.jobs.machine_placements(machine.name);
-        machine.site_of = ctx_.jobs.load_count();
+const MachinePlacements& AgentRegistry::placements_on(const Machine& machine) const {
+    if (machine.placements == nullptr || machine.placements_load_count != ctx_.jobs.load_count()) {
+        machine.placements = ctx_.jobs.machine_placements(machine.name);
+        machine.placements_load_count = ctx_.jobs.load_count();
     }
-    return *machine.site;
+    return *machine.placements;
 }
 
 const MachineType* AgentRegistry::type(const std::string& name) const {
@@ -61,22 +61,22 @@
 void AgentRegistry::set_machine_types(const std::vector<MachineType>& types) {
     types_ = types;
     for (auto& [name, machine] : machines_) {
-        machine.room_known = false;
+        machine.free_resources_valid = false;
     }
 }
 
-double AgentRegistry::longest_boot_s() const {
-    double boot = 0;
+double AgentRegistry::boot_time_max_s() const {
+    double boot_time_s = 0;
     for (const auto& machine_type : types_) {
-        boot = std::max(boot, machine_type.boot_s);
+        boot_time_s = std::max(boot_time_s, machine_type.boot_s);
     }
-    return boot;
+    return boot_time_s;
 }
 
 bool AgentRegistry::needs_whole_machine(const JobSpec& spec) const {
-    Resources two = spec.task_resources * 2;
+    Resources two_tasks = spec.task_resources * 2;
     return std::none_of(types_.begin(), types_.end(),
-                        [&](const MachineType& type) { return two.fits_in(type.size); });
+                        [&](const MachineType& type) { return two_tasks.fits_in(type.size); });
 }
 
 double AgentRegistry::heartbeat_timeout_s() const {
@@ -90,8 +90,8 @@
     return image_numbers_.try_emplace(image, static_cast<int>(image_numbers_.size())).first->second;
 }
 
-void AgentRegistry::note_image_used(Machine& machine, const std::string& image_name,
-                                    double size_gb) const {
+void AgentRegistry::record_image_use(Machine& machine, const std::string& image_name,
+                                     double size_gb) const {
     int number = image_number(image_name);
     std::erase_if(machine.cached_images,
                   [&](const CachedImage& image) { return image.number == number; });
@@ -100,7 +100,7 @@
     if (machine_type == nullptr) {
         return;
     }
-    // The worker keeps the most recently used images; the estimate drops them the same way.
+    // The worker evicts the least recently used images, and so does this estimate.
     double total_gb = 0;
     for (auto cached = machine.cached_images.begin(); cached != machine.cached_images.end();
          ++cached) {
@@ -117,11 +117,11 @@
                        [&](const CachedImage& cached) { return cached.number == image; });
 }
 
-void AgentRegistry::note_images_pulling(const Machine& machine) const {
-    for (const auto& [id, on] : site(machine).tasks) {
-        auto status = machine.tasks.find({id, on.placement->attempt});
+void AgentRegistry::update_images_pulling(const Machine& machine) const {
+    for (const auto& [id, placed] : placements_on(machine).tasks) {
+        auto status = machine.tasks.find({id, placed.placement->attempt});
         if (status == machine.tasks.end() || status->second.state == TaskState::fetching) {
-            int image = image_number(on.job->spec.image);
+            int image = image_number(placed.job->spec.image);
             if (std::find(machine.images_pulling.begin(), machine.images_pulling.end(), image) ==
                 machine.images_pulling.end()) {
                 machine.images_pulling.push_back(image);
@@ -130,65 +130,66 @@
     }
 }
 
-const Resources& AgentRegistry::room(const Machine& machine) const {
-    if (machine.room_known) {
-        return machine.room;
+const Resources& AgentRegistry::free_resources(const Machine& machine) const {
+    if (machine.free_resources_valid) {
+        return machine.free_resources;
     }
-    machine.room_known = true;
+    machine.free_resources_valid = true;
     machine.images_pulling.clear();
     const MachineType* machine_type = type(machine.type);
     if (machine_type == nullptr) {
-        machine.room = {};
-        return machine.room;
+        machine.free_resources = {};
+        return machine.free_resources;
     }
-    note_images_pulling(machine);
-    machine.room = machine_type->size - site(machine).used;
+    update_images_pulling(machine);
+    machine.free_resources = machine_type->size - placements_on(machine).used;
     for (const auto& [attempt, status] : machine.tasks) {
         const Placement* placement = ctx_.jobs.placement(attempt.task);
-        bool here = placement != nullptr && placement->machine == machine.name;
+        bool placed_here = placement != nullptr && placement->machine == machine.name;
         bool exited = status.state == TaskState::exited;
-        // A task that runs there without a placement still takes its room until it is stopped.
-        bool unplaced = !here && !exited;
-        bool exit_pending = here && exited && placement->attempt == attempt.number &&
+        // A task that runs there without a placement still uses resources until it is stopped.
+        bool unplaced = !placed_here && !exited;
+        bool exit_pending = placed_here && exited && placement->attempt == attempt.number &&
                             machine.owned_by_us && machine.adopted;
         const Job* job = unplaced || exit_pending ? ctx_.jobs.find(attempt.task.uid) : nullptr;
         if (job != nullptr) {
-            machine.room += job->spec.task_resources * (exit_pending ? 1.0 : -1.0);
+            machine.free_resources += job->spec.task_resources * (exit_pending ? 1.0 : -1.0);
         }
     }
-    return machine.room;
+    return machine.free_resources;
 }
 
-bool AgentRegistry::usable(const Machine& machine) const {
-    // A machine that is gone stays known for a moment longer than its mark; a silent one may be
-    // gone: neither must be given work.
+bool AgentRegistry::claimable(const Machine& machine) const {
+    // A released machine stays in the registry for a moment longer than its cordon, and a silent
+    // one may be gone: neither must be given work.
     return machine.owned_by_us && machine.adopted && !machine.release_confirmed &&
            !machine.interruption_deadline && ctx_.now.steady >= machine.claim_backoff_until &&
            ctx_.now.steady - machine.last_heartbeat_at <= heartbeat_timeout_s() &&
-           !machine.release_mark_pending && !site(machine).cordon && type(machine.type) != nullptr;
+           !machine.cordon_write_pending && !placements_on(machine).cordon &&
+           type(machine.type) != nullptr;
 }
 
-bool AgentRegistry::in_use(const Machine& machine) const {
+bool AgentRegistry::schedulable(const Machine& machine) const {
     return machine.up() && !machine.release_confirmed && !machine.interruption_deadline &&
-           !zone_partitioned(machine.zone) && !site(machine).cordon;
+           !zone_partitioned(machine.zone) && !placements_on(machine).cordon;
 }
 
 bool AgentRegistry::should_start(const Machine& machine, const Job& job) const {
-    return !job.cancelled && !job.final && !site(machine).cordon && !machine.release_mark_pending &&
-           !machine.interruption_deadline && !GangPreemption::is_incomplete(job) &&
-           !job.gang_stop_requested();
+    return !job.cancelled && !job.final && !placements_on(machine).cordon &&
+           !machine.cordon_write_pending && !machine.interruption_deadline &&
+           !GangPreemption::is_incomplete(job) && !job.gang_stop_requested();
 }
 
-bool AgentRegistry::vacated(const Machine& machine) const {
-    const auto& placed = site(machine).tasks;
+bool AgentRegistry::all_tasks_exited(const Machine& machine) const {
+    const auto& placed = placements_on(machine).tasks;
     return std::all_of(placed.begin(), placed.end(), [&](const auto& entry) {
         auto status = machine.tasks.find({entry.first, entry.second.placement->attempt});
         return status != machine.tasks.end() && status->second.state == TaskState::exited;
     });
 }
 
-void AgentRegistry::note_empty(Machine& machine) const {
-    if (!site(machine).tasks.empty()) {
+void AgentRegistry::update_empty_since(Machine& machine) const {
+    if (!placements_on(machine).tasks.empty()) {
         machine.empty_since = -1;
     } else if (machine.empty_since < 0) {
         machine.empty_since = ctx_.now.steady;
@@ -200,7 +201,7 @@
     return entry == placed_at_.end() ? ctx_.now.steady : entry->second;
 }
 
-void AgentRegistry::note_placement(const TaskId& id, const Placement& placement) {
+void AgentRegistry::record_placement(const TaskId& id, const Placement& placement) {
     placed_at_[id] = ctx_.now.steady;
     const Job* job = ctx_.jobs.find(id.uid);
     if (job == nullptr) {
@@ -213,7 +214,7 @@
         machine.owned_by_us = membership_.owned_by_us(machine.name, machine.zone);
         machine.owned_since = ctx_.now.steady;
     }
-    note_image_used(machine, job->spec.image, job->spec.image_gb);
+    record_image_use(machine, job->spec.image, job->spec.image_gb);
 }
 
 void AgentRegistry::forget_ended_placements() {
@@ -221,8 +222,8 @@
                   [&](const auto& entry) { return ctx_.jobs.placement(entry.first) == nullptr; });
 }
 
-bool AgentRegistry::is_stale(const Machine& machine, const Heartbeat& report) {
-    return machine.heartbeat_received && std::tie(report.agent_epoch, report.seq) <=
+bool AgentRegistry::is_stale(const Machine& machine, const Heartbeat& heartbeat) {
+    return machine.heartbeat_received && std::tie(heartbeat.agent_epoch, heartbeat.seq) <=
                                              std::tie(machine.agent_epoch, machine.heartbeat_seq);
 }
 
@@ -232,32 +233,32 @@
     machine.owned_since = ctx_.now.steady;
 }
 
-void AgentRegistry::apply_heartbeat(Machine& machine, const Heartbeat& report) {
+void AgentRegistry::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat) {
     bool first = !machine.heartbeat_received;
-    machine.room_known = false;
-    machine.address = report.address;
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+    machine.free_resources_valid = false;
+    machine.address = heartbeat.address;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     if (first) {
         machine.launched_at = machine.launched_at == 0 ? ctx_.now.steady : machine.launched_at;
-        ctx_.info("machine {}: first report, type {} zone {}{}", machine.name, machine.type,
-                  machine.zone, machine.spot ? " spot" : "");
+        ctx_.info("machine {}: first heartbeat received, type {} zone {}{}", machine.name,
+                  machine.type, machine.zone, machine.spot ? " spot" : "");
     }
     if (!machine.owned_by_us) {
         take_ownership(machine);
     }
     machine.heartbeat_received = true;
-    machine.agent_epoch = report.agent_epoch;
-    machine.heartbeat_seq = report.seq;
-    machine.fencing_token = report.token;
-    if (report.interruption_notice_s && !machine.interruption_deadline) {
-        machine.interruption_deadline = ctx_.now.steady + *report.interruption_notice_s;
-        ctx_.info("machine {}: taken away in {:.1f} s", machine.name,
-                  *report.interruption_notice_s);
+    machine.agent_epoch = heartbeat.agent_epoch;
+    machine.heartbeat_seq = heartbeat.seq;
+    machine.fencing_token = heartbeat.token;
+    if (heartbeat.interruption_notice_s && !machine.interruption_deadline) {
+        machine.interruption_deadline = ctx_.now.steady + *heartbeat.interruption_notice_s;
+        ctx_.info("machine {}: spot instance will be interrupted in {:.1f} s", machine.name,
+                  *heartbeat.interruption_notice_s);
     }
     machine.tasks.clear();
-    for (const auto& status : report.tasks) {
+    for (const auto& status : heartbeat.tasks) {
         machine.tasks[{status.id, status.attempt}] = status;
     }
     for (auto stop = machine.pending_stops.begin(); stop != machine.pending_stops.end();) {
@@ -272,8 +273,8 @@
     std::vector<std::string> taken_over;
     for (const ListedMachine& listed : listing) {
         auto [machine, added] = find_or_add(listed.name);
-        machine.room_known = machine.room_known && machine.type == listed.type;
-        // A rental's answer names no address. It may come after the machine's first report.
+        machine.free_resources_valid = machine.free_resources_valid && machine.type == listed.type;
+        // The reply to a launch names no address, and may come after the machine's first heartbeat.
         machine.address = listed.address.empty() ? machine.address : listed.address;
         machine.type = listed.type;
         machine.zone = listed.zone;
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -25,11 +25,11 @@
             continue;
         }
         ++i;
-        registry_.note_empty(machine);
+        registry_.update_empty_since(machine);
         if (ctx_.is_member && machine.owned_by_us) {
             task_stops_.resend(machine);
         }
-        if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).cordon) {
+        if (ctx_.is_member && machine.owned_by_us && !registry_.placements_on(machine).cordon) {
             task_stops_.checkpoint_before_interruption(machine);
             check_liveness(machine, silent);
         }
@@ -111,7 +111,7 @@
     int relayed = 0;
     std::map<std::string, SilentMachines::Count> zones;
     for (const Machine* machine : registry_.all()) {
-        if (!machine->owned_by_us || !machine->up() || registry_.site(*machine).cordon) {
+        if (!machine->owned_by_us || !machine->up() || registry_.placements_on(*machine).cordon) {
             continue;
         }
         bool is_silent = silent_for_s(*machine) > registry_.heartbeat_timeout_s();
@@ -155,8 +155,8 @@
 
 // Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
 bool FailureDetector::can_forget(Machine& machine) const {
-    const auto& mark = registry_.site(machine).cordon;
-    bool placed = !registry_.site(machine).tasks.empty();
+    const auto& mark = registry_.placements_on(machine).cordon;
+    bool placed = !registry_.placements_on(machine).tasks.empty();
     if (mark && mark->released) {
         machine.release_confirmed = true;
     } else if (machine.release_confirmed && !mark && !machine.awaiting_reply) {
@@ -189,14 +189,14 @@
     }
     if (registry_.zone_partitioned(machine.zone)) {
         // By then every lease there has ended; starting anew costs about a boot.
-        limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.longest_boot_s());
+        limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.boot_time_max_s());
     }
     return limit_s;
 }
 
 void FailureDetector::check_liveness(Machine& machine, const SilentMachines& silent) {
     double silent_s = silent_for_s(machine);
-    bool placed = !registry_.site(machine).tasks.empty();
+    bool placed = !registry_.placements_on(machine).tasks.empty();
     if (machine.listed_state == ListedState::failed) {
         release_marks_.mark(machine, "failed", true);
     } else if (placed && machine.address.empty() &&
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -8,76 +8,77 @@
 // Status codes of the worker protocol.
 constexpr int status_ok = 200;
 constexpr int status_misdirected = 421;  // this controller may not command the machine
-constexpr int status_unavailable = 503;  // no reply with commands; the worker tries again
+constexpr int status_unavailable = 503;  // no commands in the reply; the worker retries
 }  // namespace
 
-void HeartbeatHandler::handle(std::uint64_t request, const Heartbeat& report, bool relayed) {
+void HeartbeatHandler::handle(std::uint64_t request, const Heartbeat& heartbeat, bool relayed) {
     if (!membership_.may_answer_workers()) {
         reject(request, status_unavailable);
         return;
     }
-    if (report.token > ctx_.fencing_token) {
-        // A newer epoch exists that this process hasn't heard of: it may not command.
+    if (heartbeat.token > ctx_.fencing_token) {
+        // A newer epoch exists that this process does not know of: it must not command the worker.
         reject(request, status_misdirected);
         return;
     }
-    const Member* owner = membership_.owner(report.machine, report.zone);
+    const Member* owner = membership_.owner(heartbeat.machine, heartbeat.zone);
     if (owner == nullptr || owner->id != ctx_.self.id) {
-        redirect(request, report, owner, relayed);
+        redirect(request, heartbeat, owner, relayed);
         return;
     }
     if (!relayed) {
         failure_detector_.note_direct_heartbeat();
     }
-    Machine& machine = registry_.find_or_add(report.machine).machine;
-    if (AgentRegistry::is_stale(machine, report)) {
+    Machine& machine = registry_.find_or_add(heartbeat.machine).machine;
+    if (AgentRegistry::is_stale(machine, heartbeat)) {
         acknowledge_stale(request);
         return;
     }
     if (machine.open_request) {
-        // The worker gave up on the earlier heartbeat; nobody reads its reply.
+        // The worker has abandoned the earlier heartbeat; nobody reads its reply.
         reject(*machine.open_request, status_unavailable);
         machine.open_request.reset();
     }
-    if (const auto& mark = registry_.site(machine).cordon; mark && mark->released) {
+    if (const auto& cordon = registry_.placements_on(machine).cordon; cordon && cordon->released) {
         reject(request, status_unavailable);
         return;
     }
-    accept(machine, request, report, relayed);
+    accept(machine, request, heartbeat, relayed);
 }
 
-void HeartbeatHandler::accept(Machine& machine, std::uint64_t request, const Heartbeat& report,
+void HeartbeatHandler::accept(Machine& machine, std::uint64_t request, const Heartbeat& heartbeat,
                               bool relayed) {
-    registry_.apply_heartbeat(machine, report);
+    registry_.apply_heartbeat(machine, heartbeat);
     machine.last_heartbeat_at = ctx_.now.steady;
     machine.last_heartbeat_relayed = relayed;
     machine.probe_failures = 0;
     replies_.open(machine, request);
-    adoption_.adopt_on_heartbeat(machine, report);
+    adoption_.adopt_on_heartbeat(machine, heartbeat);
     if (!machine.adopted) {
-        replies_.send(machine);  // raises its token
+        replies_.send(machine);  // raises its fencing token
         return;
     }
     machine.reply_deadline = ctx_.now.steady + constants::heartbeat_reply_hold_s;
     reconciliation_.reconcile(machine, true);
     if (relayed) {
-        // Its peer has few connections for relays and waits less long than a reply is held open
-        // for: held, they would fail for hundreds of machines whose owner is cut off from them.
+        // The relaying peer has few connections for relays and times out before a held reply is
+        // sent: holding replies would fail the heartbeats of hundreds of machines that can't reach
+        // their owner.
         replies_.send(machine);
         return;
     }
     replies_.send_if_due(machine);
 }
 
-void HeartbeatHandler::reject(std::uint64_t request, int status, const std::string& home) {
+void HeartbeatHandler::reject(std::uint64_t request, int status, const std::string& owner_name) {
     WorkerReply reply;
     reply.request = request;
     reply.status = status;
-    reply.owner = home;
+    reply.owner = owner_name;
     ctx_.out.emplace_back(reply);
 }
 
-// A delayed heartbeat: its list of tasks is as old as itself.
+// A delayed heartbeat: its task list is out of date, so it is not applied.
 void HeartbeatHandler::acknowledge_stale(std::uint64_t request) {
     WorkerReply reply;
     reply.request = request;
@@ -86,38 +87,41 @@
     ctx_.out.emplace_back(reply);
 }
 
-void HeartbeatHandler::redirect(std::uint64_t request, const Heartbeat& report, const Member* owner,
-                                bool relayed) {
+void HeartbeatHandler::redirect(std::uint64_t request, const Heartbeat& heartbeat,
+                                const Member* owner, bool relayed) {
     if (owner == nullptr || relayed) {
         reject(request, status_misdirected);
         return;
     }
-    Redirect& redirect = redirects_[report.machine];
+    Redirect& redirect = redirects_[heartbeat.machine];
     double now = ctx_.now.steady;
-    // Relayed once, it stays here and comes again with its next heartbeat.
-    double window_s = constants::redirect_return_margin_s +
-                      ctx_.settings.heartbeat_interval_s * constants::heartbeat_interval_factor;
-    // Guards against workers that came back because their owner changed meanwhile, or could not be
-    // reached for a moment, and were relayed for good: now and then they are redirected once more.
-    bool came_back = redirect.owner_id == owner->id && now - redirect.last_at < window_s &&
-                     now - redirect.first_at < constants::redirect_retry_interval_s;
-    redirect.last_at = now;
-    if (came_back) {
-        // The worker was redirected to its owner a moment ago: it can't reach it, and its lease
-        // would run out. The heartbeat goes over the controllers' own network instead.
-        relay(request, report, *owner);
+    // A worker that has been relayed stays with this controller and sends its next heartbeat here.
+    double return_window_s =
+        constants::redirect_return_margin_s +
+        ctx_.settings.heartbeat_interval_s * constants::heartbeat_interval_factor;
+    // A worker may have returned only because its owner changed or was briefly unreachable. So that
+    // it is not relayed forever, it is redirected again after the retry interval.
+    bool returned = redirect.owner_id == owner->id &&
+                    now - redirect.last_received_at < return_window_s &&
+                    now - redirect.redirected_at < constants::redirect_retry_interval_s;
+    redirect.last_received_at = now;
+    if (returned) {
+        // The worker was redirected to its owner a moment ago and can't reach it, so its lease
+        // would expire. The heartbeat is relayed over the network between the controllers.
+        relay(request, heartbeat, *owner);
         return;
     }
     redirect.owner_id = owner->id;
-    redirect.first_at = now;
+    redirect.redirected_at = now;
     reject(request, status_misdirected, owner->name);
 }
 
-void HeartbeatHandler::relay(std::uint64_t request, const Heartbeat& report, const Member& owner) {
+void HeartbeatHandler::relay(std::uint64_t request, const Heartbeat& heartbeat,
+                             const Member& owner) {
     PeerCall call;
     call.peer = owner.name;
     call.has_store_contact = membership_.has_store_contact();
-    call.relayed_heartbeat = report;
+    call.relayed_heartbeat = heartbeat;
     ctx_.peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
         if (!answered || !reply) {
             reject(request, status_misdirected);
@@ -131,7 +135,7 @@
 
 void HeartbeatHandler::forget_old_redirects() {
     std::erase_if(redirects_, [&](const auto& entry) {
-        return ctx_.now.steady - entry.second.last_at > constants::gone_cordon_ttl_s;
+        return ctx_.now.steady - entry.second.last_received_at > constants::gone_cordon_ttl_s;
     });
 }
 
--- a/src/core/agents/heartbeat_handler.hpp
+++ b/src/core/agents/heartbeat_handler.hpp
@@ -1,5 +1,5 @@
-// HeartbeatHandler: takes in the heartbeats of workers. Those of another controller's machines are
-// redirected to their owner, or relayed to it if the worker can't reach it.
+/// HeartbeatHandler: handles the heartbeats of workers. Workers of another controller's machines
+/// are redirected to the owner; if a worker can't reach it, its heartbeat is relayed.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace cranemoor::core {
 
-/// Decides what becomes of each heartbeat: rejected, redirected, relayed or taken in.
+/// Rejects, redirects, relays or accepts each heartbeat.
 class HeartbeatHandler {
   public:
     /// All arguments must outlive this object.
@@ -31,28 +31,28 @@
           adoption_(adoption),
           failure_detector_(failure_detector) {}
 
-    /// Takes in one heartbeat with request id `request`. Replies at once with 503 (may not answer
-    /// workers), 421 (newer fencing token, or another owner: redirect or relay), with 200 at once
-    /// to a stale one, or holds the reply open until something is due. `relayed`: it came by way
-    /// of a peer controller and is never passed on again.
-    void handle(std::uint64_t request, const Heartbeat& report, bool relayed);
-    /// Drops what is known of redirects that were long ago.
+    /// Handles the heartbeat of request id `request`. Replies at once with 503 (this controller may
+    /// not answer workers, or the machine is released), 421 (newer fencing token, or another owner)
+    /// or 200 (stale heartbeat), relays it to the owner, or accepts it and may hold its reply open.
+    /// `relayed`: it came from a peer controller and is never relayed again.
+    void handle(std::uint64_t request, const Heartbeat& heartbeat, bool relayed);
+    /// Drops the records of old redirects.
     void forget_old_redirects();
 
   private:
-    // When a worker was last redirected to its owner, and when first to this owner.
+    // The last redirect of a worker; times are steady-clock seconds.
     struct Redirect {
         std::uint64_t owner_id = 0;
-        double last_at = never_s;
-        double first_at = never_s;
+        double last_received_at = never_s;  // last heartbeat that was redirected or relayed
+        double redirected_at = never_s;     // last redirect to this owner
     };
 
-    void accept(Machine& machine, std::uint64_t request, const Heartbeat& report, bool relayed);
-    void reject(std::uint64_t request, int status, const std::string& home = "");
+    void accept(Machine& machine, std::uint64_t request, const Heartbeat& heartbeat, bool relayed);
+    void reject(std::uint64_t request, int status, const std::string& owner_name = "");
     void acknowledge_stale(std::uint64_t request);
-    void redirect(std::uint64_t request, const Heartbeat& report, const Member* owner,
+    void redirect(std::uint64_t request, const Heartbeat& heartbeat, const Member* owner,
                   bool relayed);
-    void relay(std::uint64_t request, const Heartbeat& report, const Member& owner);
+    void relay(std::uint64_t request, const Heartbeat& heartbeat, const Member& owner);
 
     Context& ctx_;
     const Membership& membership_;
@@ -61,7 +61,7 @@
     TaskReconciliation& reconciliation_;
     MachineAdoption& adoption_;
     FailureDetector& failure_detector_;
-    std::map<std::string, Redirect> redirects_;  // by machine
+    std::map<std::string, Redirect> redirects_;  // by machine name
 };
 
 }  // namespace cranemoor::core
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -41,10 +41,10 @@
     std::set<TaskId> live;
     for (const auto& [attempt, status] : machine.tasks) {
         const Placement* placement = ctx_.jobs.placement(attempt.task);
-        bool ours = placement != nullptr && placement->machine == machine.name &&
-                    placement->attempt == attempt.number;
+        bool is_current = placement != nullptr && placement->machine == machine.name &&
+                          placement->attempt == attempt.number;
         if (status.state == TaskState::exited) {
-            if (!ours) {
+            if (!is_current) {
                 reply.commands.push_back({Command::Kind::forget, attempt.task, attempt.number, 0});
                 machine.starts_sent.erase(attempt);
                 machine.seen_running.erase(attempt);
@@ -53,7 +53,7 @@
         }
         live.insert(attempt.task);
         auto stop = machine.pending_stops.find(attempt);
-        if (!ours) {
+        if (!is_current) {
             reply.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, 0});
         } else if (stop != machine.pending_stops.end()) {
             reply.commands.push_back(
@@ -66,12 +66,12 @@
 void HeartbeatReplies::add_starts(Machine& machine, const std::set<TaskId>& live,
                                   WorkerReply& reply) {
     bool may_start = membership_.may_start_tasks();
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
-        if (!may_start || !registry_.should_start(machine, *on.job)) {
+    for (const auto& [id, placed] : registry_.placements_on(machine).tasks) {
+        if (!may_start || !registry_.should_start(machine, *placed.job)) {
             continue;
         }
-        Attempt attempt{id, on.placement->attempt};
-        bool exit_pending = pending_exits_.find(*on.job, id.index) != nullptr;
+        Attempt attempt{id, placed.placement->attempt};
+        bool exit_pending = pending_exits_.find(*placed.job, id.index) != nullptr;
         if (machine.tasks.contains(attempt) || live.contains(id) || exit_pending) {
             continue;
         }
@@ -83,8 +83,8 @@
 }
 
 void HeartbeatReplies::send_due() {
-    // Those that were answered otherwise leave the list here: until then they stay known, see
-    // FailureDetector::can_forget().
+    // Machines answered elsewhere leave the list only here. Until then the registry keeps them,
+    // since the list points to them; see `FailureDetector::can_forget`.
     std::size_t kept = 0;
     for (Machine* machine : awaiting_reply_) {
         if (machine->open_request &&
@@ -107,29 +107,30 @@
     if (!overdue && machine.claims_in_flight > 0) {
         return;
     }
-    // Something to say: say it now.
+    // A start that is due is sent at once.
     bool start_due = false;
-    bool news_expected = false;  // whether the worker may soon have something to report
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
-        auto status = machine.tasks.find({id, on.placement->attempt});
+    bool change_expected = false;  // the worker may soon have a change to report
+    for (const auto& [id, placed] : registry_.placements_on(machine).tasks) {
+        auto status = machine.tasks.find({id, placed.placement->attempt});
         start_due = start_due ||
-                    (status == machine.tasks.end() && registry_.should_start(machine, *on.job));
-        news_expected = news_expected || on.job->cancelled ||
-                        on.job->spec.kind != JobKind::service || status == machine.tasks.end() ||
-                        status->second.state != TaskState::running;
+                    (status == machine.tasks.end() && registry_.should_start(machine, *placed.job));
+        change_expected =
+            change_expected || placed.job->cancelled || placed.job->spec.kind != JobKind::service ||
+            status == machine.tasks.end() || status->second.state != TaskState::running;
     }
     if (start_due && !overdue && !membership_.may_start_tasks()) {
-        return;  // the next reply of the key-value store is a moment away
+        return;  // the next reply of the key-value store will arrive shortly
     }
-    bool has_room_to_offer = !start_due && registry_.usable(machine);
-    if (has_room_to_offer && !overdue && !machine.seen_by_scheduler) {
-        return;  // the next round is a moment away
+    bool accepts_claims = !start_due && registry_.claimable(machine);
+    if (accepts_claims && !overdue && !machine.seen_by_scheduler) {
+        return;  // the next scheduling round will run shortly
     }
-    news_expected = news_expected || machine.tasks.size() > registry_.site(machine).tasks.size();
-    if (has_room_to_offer && !news_expected && !overdue &&
-        registry_.room(machine).cpus > Resources::rounding_tolerance) {
-        // Nothing ends there by itself, so the worker has nothing to report: its reply is held
-        // open for a while, and a job that comes meanwhile starts without waiting for a heartbeat.
+    change_expected =
+        change_expected || machine.tasks.size() > registry_.placements_on(machine).tasks.size();
+    if (accepts_claims && !change_expected && !overdue &&
+        registry_.free_resources(machine).cpus > Resources::rounding_tolerance) {
+        // No task there ends by itself, so the worker has nothing to report. Its reply is held open
+        // so that a job that arrives meanwhile starts without waiting for the next heartbeat.
         machine.reply_deadline =
             std::max(machine.reply_deadline,
                      machine.last_heartbeat_at + constants::idle_heartbeat_reply_hold_s);
--- a/src/core/agents/heartbeat_replies.hpp
+++ b/src/core/agents/heartbeat_replies.hpp
@@ -1,6 +1,5 @@
-// HeartbeatReplies: the replies to heartbeats, with the commands that are due (start, stop,
-// forget). A reply is held open (long poll) while there is nothing to say and something may still
-// come.
+/// HeartbeatReplies: the replies to heartbeats, with the commands that are due (start, stop,
+/// forget). A reply is held open (long poll) while no command is due and one may still become due.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace cranemoor::core {
 
-/// The heartbeats of our machines that wait for their replies.
+/// The heartbeats of this controller's machines that have not been answered yet.
 class HeartbeatReplies {
   public:
     /// All arguments must outlive this object.
@@ -22,17 +21,19 @@
                      const PendingTaskExits& pending_exits)
         : ctx_(ctx), membership_(membership), registry_(registry), pending_exits_(pending_exits) {}
 
-    /// From now on heartbeat request `request` of the machine waits for its reply.
+    /// Registers heartbeat request `request` of the machine as the one to answer.
     void open(Machine& machine, std::uint64_t request);
-    /// Replies to the open heartbeat now, with all commands due; does nothing if none is open.
+    /// Replies to the open heartbeat now, with all commands that are due; no effect if none is
+    /// open.
     void send(Machine& machine);
-    /// Replies if there is something to say or nothing to wait for; else holds the reply open.
+    /// Replies if a command is due or there is nothing to wait for; otherwise holds the reply open.
     void send_if_due(Machine& machine);
-    /// Runs send_if_due() over the machines whose heartbeat waits for its reply.
+    /// Calls `send_if_due` for the machines with an open heartbeat, except those whose reply is
+    /// held open until a later time.
     void send_due();
 
   private:
-    // Returns the tasks that are reported there and have not exited.
+    // Returns the tasks that the worker reports and that have not exited.
     std::set<TaskId> add_stops_and_forgets(Machine& machine, WorkerReply& reply) const;
     void add_starts(Machine& machine, const std::set<TaskId>& live, WorkerReply& reply);
 
@@ -40,7 +41,7 @@
     const Membership& membership_;
     AgentRegistry& registry_;
     const PendingTaskExits& pending_exits_;
-    std::vector<Machine*> awaiting_reply_;  // with an open request, or whose reply just went out
+    std::vector<Machine*> awaiting_reply_;  // see `Machine::awaiting_reply`
 };
 
 }  // namespace cranemoor::core
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -118,8 +118,9 @@
     // that goes, what is not told in time would be taken for lost.
     for (const auto& [index, task_exit] : pending.tasks) {
         const Machine* machine = registry_.find(task_exit.machine);
-        if (machine != nullptr && (registry_.vacated(*machine) || machine->interruption_deadline ||
-                                   ctx_.jobs.cordon(machine->name) != nullptr)) {
+        if (machine != nullptr &&
+            (registry_.all_tasks_exited(*machine) || machine->interruption_deadline ||
+             ctx_.jobs.cordon(machine->name) != nullptr)) {
             return true;
         }
     }
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -6,11 +6,11 @@
 
 void ReleaseMarks::mark(Machine& machine, const std::string& why, bool fence) {
     const Cordon* existing = ctx_.jobs.cordon(machine.name);
-    if (machine.release_mark_pending || !ctx_.is_member || !membership_.has_store_contact() ||
+    if (machine.cordon_write_pending || !ctx_.is_member || !membership_.has_store_contact() ||
         (existing != nullptr && (existing->fence || !fence))) {
         return;
     }
-    machine.release_mark_pending = true;
+    machine.cordon_write_pending = true;
     pending_[{why, fence}].insert(machine.name);
     ctx_.info("machine {}: to be returned ({})", machine.name, why);
 }
@@ -55,7 +55,7 @@
         ctx_.when_settled(reply, [this, machines] {
             for (const auto& name : machines) {
                 if (Machine* machine = registry_.find(name)) {
-                    machine->release_mark_pending = false;
+                    machine->cordon_write_pending = false;
                 }
             }
         });
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -80,7 +80,7 @@
 }
 
 void TaskReconciliation::reconcile(Machine& machine, bool from_heartbeat) {
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
+    for (const auto& [id, on] : registry_.placements_on(machine).tasks) {
         const Job* job = on.job;
         const Placement* placement = on.placement;
         Attempt attempt{id, placement->attempt};
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -73,7 +73,7 @@
         return;
     }
     double left_s = *machine.interruption_deadline - ctx_.now.steady;
-    for (const auto& [id, on] : registry_.site(machine).tasks) {
+    for (const auto& [id, on] : registry_.placements_on(machine).tasks) {
         const JobSpec& spec = on.job->spec;
         Attempt attempt{id, on.placement->attempt};
         auto status = machine.tasks.find(attempt);
--- a/src/core/autoscaling/bin_packing.cpp
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -12,7 +12,7 @@
 // Whether waiting work should count on the machine.
 bool counts_as_bin(const Context& ctx, const AgentRegistry& agents, const Machine& machine) {
     const MachineType* type = agents.type(machine.type);
-    if (type == nullptr || machine.interruption_deadline || agents.site(machine).cordon ||
+    if (type == nullptr || machine.interruption_deadline || agents.placements_on(machine).cordon ||
         agents.zone_partitioned(machine.zone) || machine.listed_state == ListedState::failed) {
         return false;
     }
@@ -29,8 +29,8 @@
     for (const auto& [name, machine] : agents.machines()) {
         if (counts_as_bin(ctx, agents, machine)) {
             bins.push_back({{machine.type, machine.zone, machine.spot},
-                            agents.site(machine).tasks.empty(),
-                            agents.room(machine)});
+                            agents.placements_on(machine).tasks.empty(),
+                            agents.free_resources(machine)});
         }
     }
     for (const auto& launch : pending) {
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -19,7 +19,8 @@
 void ScaleIn::mark_never_up() {
     for (Machine* machine : agent_manager_.registry().all()) {
         const MachineType* type = agent_manager_.registry().type(machine->type);
-        if (type == nullptr || machine->up() || agent_manager_.registry().site(*machine).cordon) {
+        if (type == nullptr || machine->up() ||
+            agent_manager_.registry().placements_on(*machine).cordon) {
             continue;
         }
         bool starting = machine->listed_state == ListedState::starting;
@@ -33,9 +34,10 @@
 std::vector<Machine*> ScaleIn::idle_machines() const {
     std::vector<Machine*> idle;
     for (Machine* machine : agent_manager_.registry().all()) {
-        if (machine->up() && !machine->release_mark_pending &&
-            !agent_manager_.registry().site(*machine).cordon && machine->empty_since >= 0 &&
-            agent_manager_.registry().site(*machine).tasks.empty()) {
+        if (machine->up() && !machine->cordon_write_pending &&
+            !agent_manager_.registry().placements_on(*machine).cordon &&
+            machine->empty_since >= 0 &&
+            agent_manager_.registry().placements_on(*machine).tasks.empty()) {
             idle.push_back(machine);
         }
     }
@@ -51,10 +53,10 @@
     double free_gpus = 0;
     for (const auto& [name, machine] : agent_manager_.registry().machines()) {
         bool counts = machine.up() && !machine.release_confirmed &&
-                      !agent_manager_.registry().site(machine).cordon;
+                      !agent_manager_.registry().placements_on(machine).cordon;
         up += counts ? 1 : 0;
-        free_gpus += counts && !agent_manager_.registry().site(machine).tasks.empty()
-                         ? agent_manager_.registry().room(machine).gpus
+        free_gpus += counts && !agent_manager_.registry().placements_on(machine).tasks.empty()
+                         ? agent_manager_.registry().free_resources(machine).gpus
                          : 0;
     }
     ctx_.info(
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -70,7 +70,7 @@
     }
     for (const auto& [name, m] : agents_.machines()) {
         const Member* owner = membership_.owner(name, m.zone);
-        if (owner != nullptr && agents_.in_use(m)) {
+        if (owner != nullptr && agents_.schedulable(m)) {
             machines[owner->id]++;
         }
     }
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -73,7 +73,7 @@
 
 bool GangReservations::is_reservable(const Machine& machine, const Job& job) const {
     const MachineType* type = agents_.type(machine.type);
-    return machine.owned_by_us && find(machine.name) == nullptr && agents_.usable(machine) &&
+    return machine.owned_by_us && find(machine.name) == nullptr && agents_.claimable(machine) &&
            type != nullptr && job.spec.task_resources.fits_in(type->size) &&
            constraints_.allows(job, machine);
 }
@@ -88,7 +88,7 @@
         }
         double remaining_work_s = 0;
         bool runs_service = false;
-        for (const auto& [id, placed] : agents_.site(*machine).tasks) {
+        for (const auto& [id, placed] : agents_.placements_on(*machine).tasks) {
             const JobSpec& spec = placed.job->spec;
             runs_service = runs_service || spec.kind == JobKind::service;
             double elapsed_s = ctx_.now.steady - agents_.placed_at(id);
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -63,8 +63,8 @@
 bool MachineScoring::any_machine_in_use_fits(const Job& job) const {
     const auto& machines = agents_.all();
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return agents_.in_use(*machine) && !agents_.site(*machine).tasks.empty() &&
-               job.spec.task_resources.fits_in(agents_.room(*machine)) &&
+        return agents_.schedulable(*machine) && !agents_.placements_on(*machine).tasks.empty() &&
+               job.spec.task_resources.fits_in(agents_.free_resources(*machine)) &&
                constraints_.allows(job, *machine);
     });
 }
@@ -94,8 +94,8 @@
         bool is_booting =
             ctx_.now.steady - machine->launched_at < type->boot_s * constants::boot_late_factor;
         return (machine->up() || is_booting) &&
-               job.spec.task_resources.fits_in(agents_.room(*machine)) &&
-               !agents_.site(*machine).cordon && constraints_.allows(job, *machine);
+               job.spec.task_resources.fits_in(agents_.free_resources(*machine)) &&
+               !agents_.placements_on(*machine).cordon && constraints_.allows(job, *machine);
     });
 }
 
@@ -117,7 +117,7 @@
     int found = 0;
     for (const Machine* machine : agents_.all()) {
         if (!AgentRegistry::has_image(*machine, image) || agents_.zone_partitioned(machine->zone) ||
-            agents_.site(*machine).cordon || !constraints_.allows(job, *machine)) {
+            agents_.placements_on(*machine).cordon || !constraints_.allows(job, *machine)) {
             continue;
         }
         found += job.spec.task_resources.fits_in(room_within_wait(*machine)) ? 1 : 0;
@@ -130,8 +130,8 @@
 
 // The room that a machine has, or is expected to have within the wait W.
 Resources MachineScoring::room_within_wait(const Machine& machine) const {
-    Resources room = agents_.room(machine);
-    for (const auto& [id, placed] : agents_.site(machine).tasks) {
+    Resources room = agents_.free_resources(machine);
+    for (const auto& [id, placed] : agents_.placements_on(machine).tasks) {
         const JobSpec& spec = placed.job->spec;
         double remaining_s = spec.estimate_s - (ctx_.now.steady - agents_.placed_at(id));
         if (spec.kind != JobKind::service && remaining_s < ctx_.tunables.locality_wait_s) {
@@ -146,7 +146,7 @@
     if (std::any_of(offer.images_claimed.begin(), offer.images_claimed.end(), is_other)) {
         return true;
     }
-    agents_.room(*offer.machine);  // brings images_pulling up to date as well
+    agents_.free_resources(*offer.machine);  // brings images_pulling up to date as well
     const auto& pulling = offer.machine->images_pulling;
     return std::any_of(pulling.begin(), pulling.end(), is_other);
 }
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -232,11 +232,11 @@
     for (auto& flow : flows) {
         flow.machines_held = held[flow.name];
     }
-    auto in_use =
+    auto schedulable =
         std::count_if(agents_.all().begin(), agents_.all().end(),
-                      [this](const Machine* machine) { return agents_.in_use(*machine); });
+                      [this](const Machine* machine) { return agents_.schedulable(*machine); });
     return admission::min_share_deficits(
-        flows, static_cast<double>(in_use),
+        flows, static_cast<double>(schedulable),
         {constants::min_share_fair_share_fraction, constants::min_share_best_effort_fraction,
          constants::min_share_wait_s});
 }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -61,7 +61,7 @@
     v.machine = &m;
     v.local = AgentRegistry::has_image(m, agents_.image_number(job.spec.image));
     std::vector<std::tuple<double, TaskId, const Job*>> candidates;
-    for (const auto& [id, on] : agents_.site(m).tasks) {
+    for (const auto& [id, on] : agents_.placements_on(m).tasks) {
         const Job* other = on.job;
         if (!other->cancelled && may_preempt(job, *other, waited)) {
             double ran = ctx_.now.steady - agents_.placed_at(id);
@@ -76,7 +76,7 @@
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const auto& a, const auto& b) { return std::get<0>(a) < std::get<0>(b); });
-    Resources room = agents_.room(m);
+    Resources room = agents_.free_resources(m);
     for (const auto& [lost, id, other] : candidates) {
         if (job.spec.task_resources.fits_in(room)) {
             break;
@@ -141,8 +141,8 @@
 // Whether a task of the block may run on the machine once there is room. Room made for one job
 // serves no second one.
 bool Preemption::may_serve(const Job& job, int block, const Machine& m) const {
-    return m.up() && !m.interruption_deadline && !m.release_mark_pending && !m.release_confirmed &&
-           scheduler_.constraints().allows(job, m) && !agents_.site(m).cordon &&
+    return m.up() && !m.interruption_deadline && !m.cordon_write_pending && !m.release_confirmed &&
+           scheduler_.constraints().allows(job, m) && !agents_.placements_on(m).cordon &&
            !scheduler_.reservations().is_reserved_for_other(m.name, job.spec.uid) &&
            PlacementConstraints::spread_allowance(job, block, m.zone) > 0;
 }
@@ -165,7 +165,7 @@
     bool fetch_counts = s.priority == Priority::production && s.image_gb > 0;
     for (Machine* each : agents_.all()) {
         Machine& m = *each;
-        bool fits = s.task_resources.fits_in(agents_.room(m));
+        bool fits = s.task_resources.fits_in(agents_.free_resources(m));
         bool local = AgentRegistry::has_image(m, image);
         // Most machines are left out by what costs least to see.
         bool better = m.owned_by_us && (!best || local || !best->local);
@@ -180,7 +180,7 @@
             }
             continue;
         }
-        if (!agents_.usable(m)) {
+        if (!agents_.claimable(m)) {
             continue;
         }
         auto v = victims_on(m, job, waited);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -64,18 +64,18 @@
         }
         // Where there is no room or use for it, that is an answer as well.
         machine->seen_by_scheduler = true;
-        if (agents_.room(*machine).cpus < Resources::rounding_tolerance ||
-            !(owned_by_us ? agents_.usable(*machine) : agents_.in_use(*machine))) {
+        if (agents_.free_resources(*machine).cpus < Resources::rounding_tolerance ||
+            !(owned_by_us ? agents_.claimable(*machine) : agents_.schedulable(*machine))) {
             continue;
         }
         MachineOffer offer;
         offer.machine = machine;
-        offer.room = agents_.room(*machine) - claim_writer_.claimed_on(machine->name);
+        offer.room = agents_.free_resources(*machine) - claim_writer_.claimed_on(machine->name);
         if (offer.room.cpus < Resources::rounding_tolerance) {
             continue;
         }
         offer.owned_by_us = owned_by_us;
-        offer.is_empty = agents_.site(*machine).tasks.empty();
+        offer.is_empty = agents_.placements_on(*machine).tasks.empty();
         if (const auto* reservation = reservations_.find(machine->name)) {
             offer.reserved_for = reservation->uid;
             offer.reserved_priority = reservation->priority;
