--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -24,11 +24,11 @@
             continue;
         }
         ++i;
-        registry_.note_empty(machine);
+        registry_.update_empty_since(machine);
         if (ctx_.is_member && machine.owned_by_us) {
             task_stops_.resend(machine);
         }
-        if (ctx_.is_member && machine.owned_by_us && !registry_.site(machine).cordon) {
+        if (ctx_.is_member && machine.owned_by_us && !registry_.placements_on(machine).cordon) {
             task_stops_.checkpoint_before_interruption(machine);
             check_liveness(machine, silent_machines);
         }
@@ -112,7 +112,7 @@
     int relayed = 0;
     std::map<std::string, SilentMachines::Count> zones;
     for (const Machine* machine : registry_.all()) {
-        if (!machine->owned_by_us || !machine->up() || registry_.site(*machine).cordon) {
+        if (!machine->owned_by_us || !machine->up() || registry_.placements_on(*machine).cordon) {
             continue;
         }
         bool is_silent = silent_for_s(*machine) > registry_.heartbeat_timeout_s();
@@ -157,8 +157,8 @@
 // Whether nothing refers to the machine any more, so that it can be dropped. Also updates
 // release_confirmed from the machine's cordon.
 bool FailureDetector::can_forget(Machine& machine) const {
-    const auto& cordon = registry_.site(machine).cordon;
-    bool has_placements = !registry_.site(machine).tasks.empty();
+    const auto& cordon = registry_.placements_on(machine).cordon;
+    bool has_placements = !registry_.placements_on(machine).tasks.empty();
     if (cordon && cordon->released) {
         machine.release_confirmed = true;
     } else if (machine.release_confirmed && !cordon && !machine.awaiting_reply) {
@@ -193,14 +193,14 @@
     }
     if (registry_.zone_partitioned(machine.zone)) {
         // By then every lease in the zone has expired; a replacement machine costs about one boot.
-        limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.longest_boot_s());
+        limit_s = std::max(limit_s, ctx_.settings.cancel_deadline_s + registry_.boot_time_max_s());
     }
     return limit_s;
 }
 
 void FailureDetector::check_liveness(Machine& machine, const SilentMachines& silent_machines) {
     double silent_s = silent_for_s(machine);
-    bool has_placements = !registry_.site(machine).tasks.empty();
+    bool has_placements = !registry_.placements_on(machine).tasks.empty();
     if (machine.listed_state == ListedState::failed) {
         release_marks_.mark(machine, "failed", true);
     } else if (has_placements && machine.address.empty() &&
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -80,7 +80,7 @@
 }
 
 void TaskReconciliation::reconcile(Machine& machine, bool from_heartbeat) {
-    for (const auto& [id, placed_task] : registry_.site(machine).tasks) {
+    for (const auto& [id, placed_task] : registry_.placements_on(machine).tasks) {
         const Job* job = placed_task.job;
         const Placement* placement = placed_task.placement;
         Attempt attempt{id, placement->attempt};
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -74,7 +74,7 @@
         return;
     }
     double until_interruption_s = *machine.interruption_deadline - ctx_.now.steady;
-    for (const auto& [id, placed_task] : registry_.site(machine).tasks) {
+    for (const auto& [id, placed_task] : registry_.placements_on(machine).tasks) {
         const JobSpec& spec = placed_task.job->spec;
         Attempt attempt{id, placed_task.placement->attempt};
         auto status = machine.tasks.find(attempt);
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -71,7 +71,7 @@
     }
     for (const auto& [name, machine] : agents_.machines()) {
         const Member* owner = membership_.owner(name, machine.zone);
-        if (owner != nullptr && agents_.in_use(machine)) {
+        if (owner != nullptr && agents_.schedulable(machine)) {
             machine_counts[owner->id]++;
         }
     }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -63,7 +63,7 @@
     victims.machine = &machine;
     victims.has_image = AgentRegistry::has_image(machine, agents_.image_number(job.spec.image));
     std::vector<std::tuple<double, TaskId, const Job*>> candidates;
-    for (const auto& [id, placed] : agents_.site(machine).tasks) {
+    for (const auto& [id, placed] : agents_.placements_on(machine).tasks) {
         const Job* victim = placed.job;
         if (!victim->cancelled && may_preempt(job, *victim, waited_s)) {
             double ran_s = ctx_.now.steady - agents_.placed_at(id);
@@ -78,7 +78,7 @@
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const auto& a, const auto& b) { return std::get<0>(a) < std::get<0>(b); });
-    Resources room = agents_.room(machine);
+    Resources room = agents_.free_resources(machine);
     for (const auto& [lost_s, id, victim] : candidates) {
         if (job.spec.task_resources.fits_in(room)) {
             break;
@@ -145,9 +145,9 @@
 // Whether a task of the block may run on the machine once it has room. Room that is made for one
 // job isn't used for another.
 bool Preemption::may_run_on(const Job& job, int block, const Machine& machine) const {
-    return machine.up() && !machine.interruption_deadline && !machine.release_mark_pending &&
+    return machine.up() && !machine.interruption_deadline && !machine.cordon_write_pending &&
            !machine.release_confirmed && scheduler_.constraints().allows(job, machine) &&
-           !agents_.site(machine).cordon &&
+           !agents_.placements_on(machine).cordon &&
            !scheduler_.reservations().is_reserved_for_other(machine.name, job.spec.uid) &&
            PlacementConstraints::spread_allowance(job, block, machine.zone) > 0;
 }
@@ -170,7 +170,7 @@
     bool fetch_matters = spec.priority == Priority::production && spec.image_gb > 0;
     for (Machine* candidate : agents_.all()) {
         Machine& machine = *candidate;
-        bool fits = spec.task_resources.fits_in(agents_.room(machine));
+        bool fits = spec.task_resources.fits_in(agents_.free_resources(machine));
         bool has_image = AgentRegistry::has_image(machine, image);
         // The cheapest checks come first, since they rule out most machines.
         bool may_be_better = machine.owned_by_us && (!best || has_image || !best->has_image);
@@ -185,7 +185,7 @@
             }
             continue;
         }
-        if (!agents_.usable(machine)) {
+        if (!agents_.claimable(machine)) {
             continue;
         }
         auto victims = find_victims(machine, job, waited_s);
