--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -15,7 +15,7 @@
 }
 
 void CancellationHandler::write_cancellation(RequestId request, const std::string& uid,
-                                             int tries_left) {
+                                             int attempts_left) {
     const Job* job = ctx_.jobs.find(uid);
     if (job == nullptr || job->cancelled) {
         status_query_.answer_known(request, uid, AnswerDetail::state, [this, request, uid] {
@@ -23,24 +23,24 @@
         });
         return;
     }
-    if (!ctx_.is_member || tries_left == 0) {
+    if (!ctx_.is_member || attempts_left == 0) {
         open_requests_.reject_unavailable(request, uid);
         return;
     }
-    double cancelled_wall = std::max(1.0, ctx_.now.wall);  // 0 would mean not cancelled
+    double cancelled_wall = std::max(1.0, ctx_.now.wall);  // 0 means not cancelled
     ctx_.txn(cancellation_txn(*job, cancelled_wall),
-             [this, request, uid, tries_left, cancelled_wall](const StoreReply& reply) {
+             [this, request, uid, attempts_left, cancelled_wall](const StoreReply& reply) {
                  if (reply.status == StoreReply::Status::ok) {
                      ctx_.info("job {}: cancelled", uid);
-                     // Guards against an outage of the key-value store just now: the watch may
-                     // never tell of it.
+                     // Guards against an outage of the key-value store at this moment, in which
+                     // the watch may never deliver the cancellation.
                      membership_.note_cancelled(uid, cancelled_wall);
                  }
-                 on_written(request, uid, tries_left, reply);
+                 on_written(request, uid, attempts_left, reply);
              });
 }
 
-// Claims are conditional on the record that is changed here, so that none can follow.
+// Every claim is conditional on the record that is changed here, so no claim can follow.
 Txn CancellationHandler::cancellation_txn(const Job& job, double cancelled_wall) const {
     const auto& uid = job.spec.uid;
     Txn txn;
@@ -51,12 +51,13 @@
     JobRecord record = job.record();
     record.cancelled_wall = cancelled_wall;
     if (job.own_record) {
-        // Guards against a job that is called done and then cancelled: its final state stands in
-        // the first block and leaves the job's own record as it is.
+        // Guards against a job that is answered as done and then cancelled: its final state is
+        // written to the first block and leaves the job's own record unchanged.
         txn.conditions.push_back({keys::block(uid, 0), job.first_block_record().revision});
         txn.writes = {{keys::job(uid), encode(record)}};
     } else if (bytes_of(job.block(0)) > ctx_.value_max()) {
-        // Its block can't be put again: a record of its own goes before the one that it shares.
+        // The block is too large to be written again. A record of the job's own takes precedence
+        // over the one that it shares.
         txn.conditions.push_back({keys::block(uid, 0), job.block(0).revision});
         txn.writes = {{keys::job(uid), encode(record)}};
     } else {
@@ -68,7 +69,7 @@
     return txn;
 }
 
-void CancellationHandler::on_written(RequestId request, const std::string& uid, int tries_left,
+void CancellationHandler::on_written(RequestId request, const std::string& uid, int attempts_left,
                                      const StoreReply& reply) {
     if (!open_requests_.is_open(request)) {
         return;
@@ -76,9 +77,9 @@
     if (reply.status == StoreReply::Status::ok && membership_.may_confirm_cancellations()) {
         open_requests_.answer(request, uid, {HttpStatus::ok, JobState::cancelled});
     } else if (reply.status == StoreReply::Status::conflict) {
-        ctx_.when_at(reply.revision, [this, request, uid, tries_left] {
+        ctx_.when_at(reply.revision, [this, request, uid, attempts_left] {
             if (open_requests_.is_open(request)) {
-                write_cancellation(request, uid, tries_left - 1);
+                write_cancellation(request, uid, attempts_left - 1);
             }
         });
     } else {
--- a/src/core/requests/cancellation_handler.hpp
+++ b/src/core/requests/cancellation_handler.hpp
@@ -12,8 +12,8 @@
 
 namespace cranemoor::core {
 
-/// Cancels jobs. The user is told only after the cancellation is durable, in the record that every
-/// claim of the job is conditional on.
+/// Cancels jobs. A cancellation is confirmed to the user only after it is durable, in the record
+/// that every claim of the job is conditional on.
 class CancellationHandler {
   public:
     CancellationHandler(Context& ctx, Membership& membership, OpenRequests& open_requests,
@@ -26,14 +26,14 @@
           finished_jobs_(finished_jobs),
           status_query_(status_query) {}
 
-    /// Cancels job `uid` and answers with its state then, which is `done` for a job that ended
-    /// before; 404 for a job that was never accepted.
+    /// Cancels job `uid` and answers with its state afterwards, which is `done` for a job that was
+    /// done before; 404 for a job that was never accepted.
     void cancel(RequestId request, const std::string& uid);
 
   private:
-    void write_cancellation(RequestId request, const std::string& uid, int tries_left);
+    void write_cancellation(RequestId request, const std::string& uid, int attempts_left);
     Txn cancellation_txn(const Job& job, double cancelled_wall) const;
-    void on_written(RequestId request, const std::string& uid, int tries_left,
+    void on_written(RequestId request, const std::string& uid, int attempts_left,
                     const StoreReply& reply);
 
     Context& ctx_;
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -5,8 +5,9 @@
 FinishedJobs::FinishedJobs(Context& ctx, OpenRequests& open_requests)
     : ctx_(ctx),
       open_requests_(open_requests),
-      look_up_budget_(ctx.settings.store_requests_per_s * constants::final_state_read_share,
-                      ctx.settings.store_requests_per_s * constants::final_state_read_share) {}
+      look_up_rate_limiter_(ctx.settings.store_requests_per_s * constants::final_state_read_share,
+                            ctx.settings.store_requests_per_s * constants::final_state_read_share) {
+}
 
 const Finished* FinishedJobs::find(const std::string& uid) const {
     if (const Finished* final_state = ctx_.jobs.final_state(uid)) {
@@ -16,38 +17,38 @@
     return cached == cache_.end() ? nullptr : &cached->second;
 }
 
-void FinishedJobs::look_up(RequestId request, const std::string& uid, Found found) {
+void FinishedJobs::look_up(RequestId request, const std::string& uid, OnFound on_found) {
     if (const Finished* final_state = find(uid)) {
-        found(final_state);
+        on_found(final_state);
         return;
     }
-    // Guards against users who ask for what nobody submitted, many times a second: their reads
-    // must not crowd out leases, claims and submissions.
-    if (!look_up_budget_.can_take(ctx_.now.steady, 1)) {
+    // Guards against users who poll jobs that were never submitted, many times a second: their
+    // reads must not crowd out leases, claims and submissions.
+    if (!look_up_rate_limiter_.can_take(ctx_.now.steady, 1)) {
         open_requests_.reject_unavailable(request, uid);
         return;
     }
-    look_up_budget_.take(1);
+    look_up_rate_limiter_.take(1);
     StoreCall call;
     call.kind = StoreCall::Kind::get;
     call.key = keys::final_state(uid);
-    ctx_.state(call, [this, request, uid, found = std::move(found)](const StoreReply& reply) {
+    ctx_.state(call, [this, request, uid, on_found = std::move(on_found)](const StoreReply& reply) {
         if (!open_requests_.is_open(request)) {
             return;
         }
         if (reply.status == StoreReply::Status::ok) {
             Finished final_state = decode_finished(reply.value);
-            remember(uid, final_state);
-            found(&final_state);
+            add_to_cache(uid, final_state);
+            on_found(&final_state);
         } else if (reply.status == StoreReply::Status::not_found) {
-            found(nullptr);
+            on_found(nullptr);
         } else {
             open_requests_.reject_unavailable(request, uid);
         }
     });
 }
 
-void FinishedJobs::remember(const std::string& uid, const Finished& final_state) {
+void FinishedJobs::add_to_cache(const std::string& uid, const Finished& final_state) {
     if (!cache_.try_emplace(uid, final_state).second) {
         return;
     }
--- a/src/core/requests/fresh_reads.cpp
+++ b/src/core/requests/fresh_reads.cpp
@@ -11,23 +11,23 @@
         return;
     }
     open_requests_.open(request, uid, timeout_s, std::move(on_fresh));
-    waiting_.push_back(request);
+    waiting_requests_.push_back(request);
     send_read_check();
 }
 
 void FreshReads::send_read_check() {
-    if (checks_in_flight_ >= constants::read_checks_in_flight_max || waiting_.empty() ||
+    if (checks_in_flight_ >= constants::read_checks_in_flight_max || waiting_requests_.empty() ||
         ctx_.now.steady < next_check_) {
         return;
     }
     ++checks_in_flight_;
     next_check_ = ctx_.now.steady + constants::read_check_interval_s;
-    auto batch = std::exchange(waiting_, {});
+    auto batch = std::exchange(waiting_requests_, {});
     Txn txn;
     txn.conditions = {ctx_.epoch_condition()};
     ctx_.txn(txn, [this, batch](const StoreReply& reply) {
         --checks_in_flight_;
-        // Of a conflict the revision is known as well.
+        // The reply to a conflict contains the revision as well.
         if (reply.status != StoreReply::Status::ok &&
             reply.status != StoreReply::Status::conflict) {
             for (auto request : batch) {
--- a/src/core/requests/fresh_reads.hpp
+++ b/src/core/requests/fresh_reads.hpp
@@ -1,5 +1,5 @@
-// Fresh reads: answers that are linearizable, from the replica. A request waits until the replica
-// is known to be at least as new as the request.
+// Fresh reads: linearizable reads from the replica. A request waits until the replica is known to
+// be at least as new as the request.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace cranemoor::core {
 
-/// Lets requests wait for a replica at least as new as they are (a read index). One compare-only
-/// transaction serves all requests that wait: its reply names the key-value store's revision at a
-/// moment after they came, and once the watched replica has reached that revision it is as fresh as
-/// a read of each key would be.
+/// Delays requests until the replica is at least as new as they are (a read index). One
+/// compare-only transaction, a read check, serves all waiting requests: its reply contains the
+/// key-value store's revision at a moment after they arrived, and once the watched replica has
+/// reached that revision it is as fresh as a read of each key would be.
 class FreshReads {
   public:
     FreshReads(Context& ctx, const Membership& membership, OpenRequests& open_requests,
@@ -27,11 +27,11 @@
           submission_queue_(submission_queue) {}
 
     /// Opens the request and runs `on_fresh` once the replica is at least as new as this moment.
-    /// The request is rejected as unavailable without contact to the store or without room for it,
-    /// and after `timeout_s` seconds.
+    /// Rejects the request as unavailable if the replica is incomplete, the store is out of contact
+    /// or too many requests wait, and after `timeout_s` seconds.
     void when_fresh(RequestId request, const std::string& uid, double timeout_s,
                     OpenRequests::Continuation on_fresh);
-    /// Sends the next read check if requests wait and its time has come.
+    /// Sends the next read check if requests wait and the check is due.
     void send_read_check();
 
   private:
@@ -39,7 +39,7 @@
     const Membership& membership_;
     OpenRequests& open_requests_;
     SubmissionQueue& submission_queue_;
-    std::vector<RequestId> waiting_;  // for the next read check
+    std::vector<RequestId> waiting_requests_;  // for the next read check
     int checks_in_flight_ = 0;
     double next_check_ = 0;  // steady time
 };
--- a/src/core/requests/open_requests.cpp
+++ b/src/core/requests/open_requests.cpp
@@ -30,13 +30,13 @@
 void OpenRequests::resume(RequestId request) {
     auto entry = open_.find(request);
     if (entry != open_.end() && entry->second.on_fresh) {
-        // Taken out first: it may answer the request, which erases the entry.
+        // Moved out first: it may answer the request, which erases the entry.
         auto on_fresh = std::exchange(entry->second.on_fresh, nullptr);
         on_fresh();
     }
 }
 
-// The reply owns its texts: the caller's may belong to the entry that is erased here.
+// The reply owns its strings: the caller's may belong to the entry that is erased here.
 void OpenRequests::send(UserReply reply) {
     open_.erase(reply.request);
     ctx_.out.emplace_back(std::move(reply));
--- a/src/core/requests/open_requests.hpp
+++ b/src/core/requests/open_requests.hpp
@@ -1,5 +1,5 @@
-// Open requests: users' requests that were not answered yet, their deadlines, and the one way by
-// which an answer leaves the core.
+// Open requests: users' requests that have not been answered yet, their deadlines, and the only way
+// by which an answer leaves the core.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 
 namespace cranemoor::core {
 
-/// Number of a user's request, unique within the process; given by the HTTP server.
+/// Id of a user's request, unique within the process; assigned by the HTTP server.
 using RequestId = std::uint64_t;
 
-/// State of a job as users are told.
+/// State of a job as returned to users.
 enum class JobState { queued, running, done, cancelled };
 
-/// A successful answer: how a job stands.
+/// A successful answer: the state of a job.
 struct JobAnswer {
     HttpStatus status = HttpStatus::ok;
     JobState state = JobState::queued;
     std::optional<std::pair<int, int>> counts =
-        {};  ///< tasks done and running; none: not asked for
+        {};  ///< tasks done and running; null: not requested
 };
 
-/// The user requests that wait for an answer. Every answer goes out through this class.
+/// The user requests that wait for an answer. Every answer is sent through this class.
 class OpenRequests {
   public:
-    /// What a request waits for; run at most once.
+    /// What to run when a request is resumed; run at most once.
     using Continuation = std::function<void()>;
 
     explicit OpenRequests(Context& ctx) : ctx_(ctx) {}
@@ -42,22 +42,22 @@
               Continuation on_fresh = nullptr);
     /// Whether the request still waits for its answer.
     bool is_open(RequestId request) const { return open_.contains(request); }
-    /// Requests that wait for an answer.
+    /// Number of requests that wait for an answer.
     std::size_t count() const { return open_.size(); }
-    /// Runs what the request was opened with, unless it was answered or resumed already.
+    /// Runs the request's `on_fresh`, unless it was answered or resumed already.
     void resume(RequestId request);
 
     /// Answers with the state of job `uid`.
     void answer(RequestId request, const std::string& uid, const JobAnswer& answer);
-    /// Answers with a rejection; `uid` is empty if the request names no job. `retry_after_s` goes
-    /// with rejections of status 503.
+    /// Answers with a rejection; `uid` is empty if the request names no job. `retry_after_s` is
+    /// sent with status 503 only.
     void reject(RequestId request, const std::string& uid, const Rejection& rejection,
                 int retry_after_s = constants::retry_after_s);
-    /// Rejects the request as unavailable: nothing was decided, the client may ask again.
+    /// Rejects the request as unavailable: nothing was decided, and the client may retry.
     void reject_unavailable(RequestId request, const std::string& uid);
     /// The same for a request that may have been answered already.
     void reject_unavailable_if_open(RequestId request);
-    /// Rejects the requests whose timeout is over, as unavailable.
+    /// Rejects the requests that have timed out, as unavailable.
     void reject_expired();
 
   private:
--- a/src/core/requests/rejection.cpp
+++ b/src/core/requests/rejection.cpp
@@ -27,9 +27,9 @@
 std::string error_text(const Rejection& rejection) {
     switch (rejection.reason) {
         case RejectionReason::unavailable:
-            return "not able to decide now";
+            return "service temporarily unable to process the request";
         case RejectionReason::queue_full:
-            return "too many submissions wait";
+            return "submission queue is full";
         case RejectionReason::malformed:
             return rejection.detail;
         case RejectionReason::no_such_job:
@@ -37,16 +37,16 @@
         case RejectionReason::unknown_team:
             return "unknown team";
         case RejectionReason::fits_no_machine_type:
-            return "a task fits no allowed machine type";
+            return "no allowed machine type fits a task of the job";
         case RejectionReason::over_team_limit:
-            return "more than the team's limit";
+            return "job needs more than the team's quota limit";
         case RejectionReason::gang_too_large:
-            return fmt::format("a gang of more than {} tasks can't be started whole",
+            return fmt::format("gang too large: at most {} tasks can be started together",
                                rejection.detail);
         case RejectionReason::unknown_dependency:
-            return "follows a job that was never accepted: " + rejection.detail;
+            return "job depends on a job that was never accepted: " + rejection.detail;
         case RejectionReason::description_too_long:
-            return "the job's description is too long";
+            return "job description is too long";
     }
     return "";
 }
--- a/src/core/requests/request_handler.hpp
+++ b/src/core/requests/request_handler.hpp
@@ -1,5 +1,6 @@
-// Request handler: what users submit, ask and cancel. Nothing is told before it is durable, and
-// nothing that may have changed is told without a fresh read of the key-value store.
+// Request handler: users' submissions, status queries and cancellations. Nothing is returned to
+// users before it is durable, and nothing that may have changed is returned without a fresh read of
+// the key-value store.
 #pragma once
 
 #include <optional>
@@ -21,8 +22,8 @@
 
 namespace cranemoor::core {
 
-/// Composes the handlers of users' requests. Every request is answered by one UserReply, at once or
-/// later; all answers together are linearizable over the controllers.
+/// Combines the handlers of users' requests. Every request is answered by exactly one UserReply, at
+/// once or later; all answers together are linearizable across the controllers.
 class RequestHandler {
   public:
     RequestHandler(Context& ctx, Membership& membership, const AgentRegistry& agents,
@@ -37,7 +38,7 @@
     void poll(RequestId request, const std::string& uid);
     /// See CancellationHandler::cancel.
     void cancel(RequestId request, const std::string& uid);
-    /// Sends what waits for its time, and rejects the requests whose timeout is over.
+    /// Sends the read checks and writes that are due, and rejects the requests that have timed out.
     void tick();
 
   private:
--- a/src/core/requests/running_task_counter.cpp
+++ b/src/core/requests/running_task_counter.cpp
@@ -4,7 +4,7 @@
 
 bool RunningTaskCounter::is_running(const Job& job, int task, const Placement& placement) const {
     const Machine* machine = agents_.find(placement.machine);
-    // What runs on other controllers' machines is not known here.
+    // Which tasks run on other controllers' machines is not known here.
     if (machine == nullptr || !machine->owned_by_us || !machine->adopted) {
         return true;
     }
@@ -14,8 +14,8 @@
 
 int RunningTaskCounter::running_tasks(const Job& job) {
     CachedCount& count = counts_[job.spec.uid];
-    bool placed_as_counted = (count.running > 0) == (job.placed() > 0);
-    if (ctx_.now.steady < count.valid_until && placed_as_counted) {
+    bool cached_count_plausible = (count.running > 0) == (job.placed() > 0);
+    if (ctx_.now.steady < count.valid_until && cached_count_plausible) {
         return count.running;
     }
     count = {0, ctx_.now.steady + constants::running_count_ttl_s};
--- a/src/core/requests/running_task_counter.hpp
+++ b/src/core/requests/running_task_counter.hpp
@@ -1,4 +1,4 @@
-// Running task counter: how many tasks of a job run, as polls display it.
+// Running task counter: the number of a job's running tasks, as returned to polls.
 #pragma once
 
 #include <string>
@@ -10,16 +10,16 @@
 namespace cranemoor::core {
 
 /// Counts the running tasks of jobs. Counts are cached for a second: a job may have many thousand
-/// tasks, and as many polls a second as its users like.
+/// tasks, and any number of polls per second.
 class RunningTaskCounter {
   public:
     RunningTaskCounter(const Context& ctx, const AgentRegistry& agents)
         : ctx_(ctx), agents_(agents) {}
 
-    /// Tasks of `job` that run, for display only. A task on a machine that another controller owns
-    /// counts as running as soon as it is placed.
+    /// Number of running tasks of `job`, for display only. A task on a machine that another
+    /// controller owns counts as running as soon as it is placed.
     int running_tasks(const Job& job);
-    /// Drops the cached counts that are out of date.
+    /// Drops the cached counts that have expired.
     void prune();
 
   private:
--- a/src/core/requests/status_query.cpp
+++ b/src/core/requests/status_query.cpp
@@ -15,18 +15,18 @@
 }
 
 void StatusQuery::answer_known(RequestId request, const std::string& uid, AnswerDetail detail,
-                               std::function<void()> otherwise) {
+                               std::function<void()> on_unknown) {
     if (const Job* job = ctx_.jobs.find(uid)) {
         answer_job(request, HttpStatus::ok, *job, detail);
         return;
     }
     finished_jobs_.look_up(request, uid,
                            [this, request, uid, detail,
-                            otherwise = std::move(otherwise)](const Finished* final_state) {
+                            on_unknown = std::move(on_unknown)](const Finished* final_state) {
                                if (final_state != nullptr) {
                                    answer_finished(request, uid, *final_state, detail);
                                } else {
-                                   otherwise();
+                                   on_unknown();
                                }
                            });
 }
@@ -35,8 +35,8 @@
                              AnswerDetail detail) {
     bool cancelled = job.cancelled;
     if (job.waiting && !cancelled) {
-        // Guards against an answer that is older than the cancellation of a job that it needs,
-        // which may still have to be handed on.
+        // Guards against an answer that is older than the cancellation of a dependency, which may
+        // still have to be propagated to this job.
         auto verdict = dependencies_.verdict(job.spec.uid);
         if (!verdict) {
             open_requests_.reject_unavailable(request, job.spec.uid);
@@ -54,8 +54,8 @@
     if (cancelled) {
         answer.state = JobState::cancelled;
     } else {
-        // Also when every task is done: until the final record is written, a cancellation may
-        // still come before it, and "done" would have to be taken back.
+        // Running also when every task is done: until the final state is written, a cancellation
+        // may still be written before it, and "done" would have to be retracted.
         answer.state = running > 0 || job.done() > 0 ? JobState::running : JobState::queued;
     }
     if (detail == AnswerDetail::state_and_counts) {
--- a/src/core/requests/status_query.hpp
+++ b/src/core/requests/status_query.hpp
@@ -1,4 +1,4 @@
-// Status queries: what users are told of a job's state.
+// Status queries: the job states that users' requests are answered with.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 
 namespace cranemoor::core {
 
-/// Whether an answer has the numbers of tasks beside the job's state.
+/// Whether an answer contains the numbers of done and running tasks in addition to the job's state.
 enum class AnswerDetail { state, state_and_counts };
 
-/// Answers polls, and every other request about a job that is known already.
+/// Answers polls, and all other requests about a job that is already known.
 class StatusQuery {
   public:
     StatusQuery(Context& ctx, const Membership& membership, const Dependencies& dependencies,
@@ -31,15 +31,15 @@
           finished_jobs_(finished_jobs),
           running_task_counter_(running_task_counter) {}
 
-    /// Answers a poll: at once for a job whose final state is in memory, else after a fresh read;
-    /// 404 for a job that was never accepted.
+    /// Answers a poll: at once if the job's final state is in memory, else after a fresh read; 404
+    /// for a job that was never accepted.
     void poll(RequestId request, const std::string& uid);
-    /// Answers with the state of a job that the replica or the finished jobs know; else runs
-    /// `otherwise`.
+    /// Answers with the state of a job that is in the replica or has a final state, and runs
+    /// `on_unknown` for any other. Rejects the request as unavailable if that can't be read now.
     void answer_known(RequestId request, const std::string& uid, AnswerDetail detail,
-                      std::function<void()> otherwise);
-    /// Answers with the state of a job that isn't finished. Rejected as unavailable while a
-    /// cancellation can't be told of, or is being handed on to jobs that depend on another.
+                      std::function<void()> on_unknown);
+    /// Answers with the state of a job that has no final state. Rejects the request as unavailable
+    /// while a cancellation may not be confirmed yet, or is being propagated to dependent jobs.
     void answer_job(RequestId request, HttpStatus status, const Job& job, AnswerDetail detail);
     /// Answers with the state of a finished job.
     void answer_finished(RequestId request, const std::string& uid, const Finished& final_state,
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -40,7 +40,8 @@
         accept_new(request, spec);
         return;
     }
-    // Known, or to be rejected: a job accepted earlier is never told 422.
+    // The job is known, has dependencies or would be rejected. A job that was accepted earlier is
+    // never answered with 422, so it is looked up first.
     fresh_reads_.when_fresh(
         request, spec.uid, constants::submission_timeout_s, [this, request, spec, rejection] {
             status_query_.answer_known(
@@ -77,11 +78,11 @@
 }
 
 bool SubmissionHandler::is_known(const std::string& uid) const {
-    return ctx_.jobs.find(uid) != nullptr || accepted_here_.contains(uid);
+    return ctx_.jobs.find(uid) != nullptr || accepted_not_in_replica_.contains(uid);
 }
 
-// A job that nothing is known of is written without a fresh read: the write's conditions fail if it
-// was accepted elsewhere.
+// A job that this controller knows nothing of is written without a fresh read: the conditions of
+// the write fail if the job was accepted elsewhere.
 void SubmissionHandler::accept_new(RequestId request, const JobSpec& spec) {
     if (!membership_.has_store_contact()) {
         open_requests_.reject_unavailable(request, spec.uid);
@@ -95,12 +96,12 @@
     accept(request, spec, constants::accept_attempts_max, false);
 }
 
-// A job that depends on others, after a fresh read: each of them must have been accepted. Most are
-// in memory; what is over so long that it isn't is read, within the budget of look-ups, and kept
-// for the case that the user has to come again.
+// Called after a fresh read. Every dependency must be a job that was accepted. Most are in memory;
+// one that finished too long ago to be there is read from the key-value store, within the rate
+// limit of such reads, and cached in case the user has to submit again.
 void SubmissionHandler::accept_dependent(RequestId request, const JobSpec& spec) {
     if (!ctx_.upgraded()) {
-        // A controller of the version before may still have to come back and would start it.
+        // A controller of the previous version may still come back, and would start the job.
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
@@ -119,7 +120,7 @@
             });
         return;
     }
-    // What is done stays done: only the others have to be waited for.
+    // A done job stays done, so the job only has to wait for the other dependencies.
     JobSpec remaining = spec;
     std::erase_if(remaining.depends_on, [&](const std::string& dependency) {
         const Finished* final_state = finished_jobs_.find(dependency);
@@ -131,27 +132,27 @@
     accept(request, remaining, constants::accept_attempts_max, cancelled);
 }
 
-// Of a dependency that isn't done.
+// Whether a dependency was cancelled. Precondition: it isn't done.
 bool SubmissionHandler::is_cancelled(const std::string& uid) const {
     return finished_jobs_.find(uid) != nullptr ||
            dependencies_.verdict(uid) == Dependencies::End::cancelled;
 }
 
-// Queues an open request's job to be written.
-void SubmissionHandler::accept(RequestId request, const JobSpec& spec, int tries_left,
+// Queues the job of an open request to be written.
+void SubmissionHandler::accept(RequestId request, const JobSpec& spec, int attempts_left,
                                bool cancelled) {
-    if (!ctx_.is_member || tries_left == 0) {
+    if (!ctx_.is_member || attempts_left == 0) {
         open_requests_.reject_unavailable(request, spec.uid);
         return;
     }
-    if (PendingSubmission* same = submission_queue_.find(spec.uid)) {
-        same->requests.push_back(request);
+    if (PendingSubmission* existing = submission_queue_.find(spec.uid)) {
+        existing->requests.push_back(request);
         return;
     }
     PendingSubmission submission;
     submission.requests = {request};
     submission.spec = spec;
-    submission.tries_left = tries_left;
+    submission.attempts_left = attempts_left;
     submission.cancelled = cancelled;
     submission_queue_.enqueue(std::move(submission));
     writer_.write_pending();
@@ -160,11 +161,11 @@
 void SubmissionHandler::on_written(const SubmissionWriter::Batch& batch, const StoreReply& reply) {
     bool written = reply.status == StoreReply::Status::ok;
     if (written) {
-        submission_queue_.note_accepted(batch.size());
+        submission_queue_.record_accepted(batch.size());
     }
     for (const auto& submission : batch) {
         if (written) {
-            note_accepted(submission.spec, reply.revision);
+            record_accepted(submission.spec, reply.revision);
         }
         for (auto request : submission.requests) {
             if (open_requests_.is_open(request)) {
@@ -174,10 +175,10 @@
     }
 }
 
-void SubmissionHandler::note_accepted(const JobSpec& spec, Revision revision) {
-    // Until the replica shows it, a second submission is looked up by a fresh read.
-    accepted_here_.insert(spec.uid);
-    ctx_.when_at(revision, [this, uid = spec.uid] { accepted_here_.erase(uid); });
+void SubmissionHandler::record_accepted(const JobSpec& spec, Revision revision) {
+    // Until the replica shows the job, another submission of it needs a fresh read.
+    accepted_not_in_replica_.insert(spec.uid);
+    ctx_.when_at(revision, [this, uid = spec.uid] { accepted_not_in_replica_.erase(uid); });
     ctx_.info("job {}: accepted, {} of {} tasks, class {} team {} image {}", spec.uid,
               kind_name(spec.kind), spec.tasks, spec.job_class, spec.team, spec.image);
 }
@@ -190,12 +191,12 @@
         open_requests_.reject_unavailable(request, submission.spec.uid);
     } else {
         ctx_.when_at(reply.revision,
-                     [this, request, submission] { accept_again(request, submission); });
+                     [this, request, submission] { retry_accept(request, submission); });
     }
 }
 
-// Guards against an answer that comes late and is older than what others told meanwhile: what the
-// replica knows of the job's end goes before "queued".
+// Guards against a late answer that is older than what other controllers have answered meanwhile:
+// an end of the job that the replica shows takes precedence over "queued".
 void SubmissionHandler::answer_accepted(RequestId request, const PendingSubmission& submission) {
     const auto& uid = submission.spec.uid;
     const Job* job = ctx_.jobs.find(uid);
@@ -211,14 +212,15 @@
     }
 }
 
-// After a conflict, which may be another job's of the same record, or the epoch's.
-void SubmissionHandler::accept_again(RequestId request, const PendingSubmission& submission) {
+// Called after a conflict, which another job of the same transaction or a new epoch may have
+// caused.
+void SubmissionHandler::retry_accept(RequestId request, const PendingSubmission& submission) {
     if (!open_requests_.is_open(request)) {
         return;
     }
     status_query_.answer_known(
         request, submission.spec.uid, AnswerDetail::state, [this, request, submission] {
-            accept(request, submission.spec, submission.tries_left - 1, submission.cancelled);
+            accept(request, submission.spec, submission.attempts_left - 1, submission.cancelled);
         });
 }
 
--- a/src/core/requests/submission_handler.hpp
+++ b/src/core/requests/submission_handler.hpp
@@ -1,5 +1,5 @@
-// Submission handler: idempotent submissions. A job is accepted once, whichever controllers it is
-// submitted to and however often; each submission of a known job is answered with its state.
+// Submission handler: idempotent submissions. A job is accepted once, no matter how often and to
+// which controllers it is submitted; each submission of a known job is answered with its state.
 #pragma once
 
 #include <optional>
@@ -20,7 +20,7 @@
 
 namespace cranemoor::core {
 
-/// Validates submissions, queues them to be written, and answers once they are durable.
+/// Validates submissions, queues them to be written, and answers them once they are durable.
 class SubmissionHandler {
   public:
     SubmissionHandler(Context& ctx, const Membership& membership, const AgentRegistry& agents,
@@ -32,13 +32,13 @@
     SubmissionHandler& operator=(const SubmissionHandler&) = delete;
 
     /// Accepts a job and answers 201, or 200 with its state if it was accepted before, or 422 if it
-    /// can't be accepted.
+    /// can't be accepted; 503 if that can't be decided now.
     void submit(RequestId request, const JobSpec& spec);
-    /// Answers a submission that can't be read with 400 and `error`, unless its uid is that of a
-    /// job accepted before. `uid`: std::nullopt if not even that could be read.
+    /// Answers a submission that can't be parsed with 400 and `error`, unless its uid is that of a
+    /// job accepted before. `uid` is std::nullopt if the uid couldn't be parsed either.
     void submit_malformed(RequestId request, const std::optional<std::string>& uid,
                           const std::string& error);
-    /// Writes the submissions that wait for it.
+    /// Writes the waiting submissions that may be written now.
     void tick();
 
   private:
@@ -46,13 +46,13 @@
     void accept_new(RequestId request, const JobSpec& spec);
     void accept_dependent(RequestId request, const JobSpec& spec);
     bool is_cancelled(const std::string& uid) const;
-    void accept(RequestId request, const JobSpec& spec, int tries_left, bool cancelled);
+    void accept(RequestId request, const JobSpec& spec, int attempts_left, bool cancelled);
     void on_written(const SubmissionWriter::Batch& batch, const StoreReply& reply);
-    void note_accepted(const JobSpec& spec, Revision revision);
+    void record_accepted(const JobSpec& spec, Revision revision);
     void answer_written(RequestId request, const PendingSubmission& submission,
                         const StoreReply& reply);
     void answer_accepted(RequestId request, const PendingSubmission& submission);
-    void accept_again(RequestId request, const PendingSubmission& submission);
+    void retry_accept(RequestId request, const PendingSubmission& submission);
 
     Context& ctx_;
     const Membership& membership_;
@@ -65,7 +65,7 @@
     StatusQuery& status_query_;
     SubmissionQueue& submission_queue_;
     SubmissionWriter writer_;
-    std::set<std::string> accepted_here_;  // not yet in the replica
+    std::set<std::string> accepted_not_in_replica_;  // uids of jobs accepted by this process
 };
 
 }  // namespace cranemoor::core
--- a/src/core/requests/submission_queue.cpp
+++ b/src/core/requests/submission_queue.cpp
@@ -9,11 +9,11 @@
     if (open_requests_.count() < constants::user_requests_max) {
         return true;
     }
-    auto longest = admission_controller_.flow_to_evict(flow);
-    if (!longest) {
+    auto longest_flow = admission_controller_.flow_to_evict(flow);
+    if (!longest_flow) {
         return false;
     }
-    PendingSubmission evicted = remove(*longest, Removal::evicted);
+    PendingSubmission evicted = remove(*longest_flow, Removal::evicted);
     for (auto request : evicted.requests) {
         if (open_requests_.is_open(request)) {
             reject_full(request, evicted.spec.uid);
@@ -26,18 +26,20 @@
     open_requests_.reject(request, uid, {RejectionReason::queue_full}, retry_after_s(uid));
 }
 
-// About when the queue has moved on, spread so that clients rejected together don't come back
-// together.
+// Up to the expected time until the queue has drained, spread by uid so that clients rejected
+// together don't retry together.
 int SubmissionQueue::retry_after_s(const std::string& uid) const {
-    std::size_t lately = 0;
-    for (const auto& batch : accepted_) {
-        lately += ctx_.now.steady - batch.at < constants::accept_rate_window_s ? batch.jobs : 0;
+    std::size_t recent_jobs = 0;
+    for (const auto& batch : accepted_batches_) {
+        recent_jobs +=
+            ctx_.now.steady - batch.at < constants::accept_rate_window_s ? batch.jobs : 0;
     }
-    double rate = std::max(1.0, static_cast<double>(lately) / constants::accept_rate_window_s);
+    double accepted_per_s =
+        std::max(1.0, static_cast<double>(recent_jobs) / constants::accept_rate_window_s);
     auto waiting = static_cast<double>(admission_controller_.waiting_count());
-    int expected_s = static_cast<int>(waiting / rate);
-    int most = std::clamp(expected_s, constants::retry_after_s, constants::retry_after_max_s);
-    return 1 + static_cast<int>(stable_hash(uid) % static_cast<std::uint64_t>(most));
+    int expected_s = static_cast<int>(waiting / accepted_per_s);
+    int spread_s = std::clamp(expected_s, constants::retry_after_s, constants::retry_after_max_s);
+    return 1 + static_cast<int>(stable_hash(uid) % static_cast<std::uint64_t>(spread_s));
 }
 
 void SubmissionQueue::enqueue(PendingSubmission submission) {
@@ -48,10 +50,10 @@
 
 PendingSubmission* SubmissionQueue::find(const std::string& uid) {
     for (auto& [flow, queue] : queues_) {
-        auto same = std::find_if(queue.begin(), queue.end(),
-                                 [&](const auto& waiting) { return waiting.spec.uid == uid; });
-        if (same != queue.end()) {
-            return &*same;
+        auto existing = std::find_if(queue.begin(), queue.end(),
+                                     [&](const auto& waiting) { return waiting.spec.uid == uid; });
+        if (existing != queue.end()) {
+            return &*existing;
         }
     }
     return nullptr;
@@ -74,7 +76,7 @@
     return remove(*admission_controller_.next_flow(), Removal::served);
 }
 
-// Evicts the newest of the flow; else takes the oldest.
+// Removes the flow's newest submission to evict it, its oldest for any other reason.
 PendingSubmission SubmissionQueue::remove(const admission::FlowName& flow, Removal removal) {
     auto entry = queues_.find(flow);
     auto& queue = entry->second;
@@ -88,12 +90,12 @@
     return submission;
 }
 
-void SubmissionQueue::note_accepted(std::size_t jobs) {
-    accepted_.push_back({ctx_.now.steady, jobs});
+void SubmissionQueue::record_accepted(std::size_t jobs) {
+    accepted_batches_.push_back({ctx_.now.steady, jobs});
 }
 
 void SubmissionQueue::prune() {
-    std::erase_if(accepted_, [&](const AcceptedBatch& batch) {
+    std::erase_if(accepted_batches_, [&](const AcceptedBatch& batch) {
         return ctx_.now.steady - batch.at >= constants::accept_rate_window_s;
     });
 }
--- a/src/core/requests/submission_queue.hpp
+++ b/src/core/requests/submission_queue.hpp
@@ -1,5 +1,5 @@
-// Submission queue: submissions that wait for their write, one queue for each flow (a team's class
-// of jobs), in the fair order of admission::AdmissionController.
+// Submission queue: submissions that wait to be written, one queue for each flow (a team's class of
+// jobs), in the fair order of admission::AdmissionController.
 #pragma once
 
 #include <deque>
@@ -13,14 +13,14 @@
 
 namespace cranemoor::core {
 
-/// A job whose record is still to be written, and who asked for it.
+/// A job whose record is still to be written, with the requests that submitted it.
 struct PendingSubmission {
-    std::vector<RequestId> requests;  ///< every request that submitted this job meanwhile
+    std::vector<RequestId> requests;  ///< every request that has submitted this job
     JobSpec spec;
-    int tries_left = 0;                  ///< writes left to try, after conflicts
-    int follow_parts = 0;                ///< records that hold the jobs it depends on; 0: its own
-    Revision follow_parts_revision = 0;  ///< of the last of these records
-    bool cancelled = false;              ///< with a job that it depends on
+    int attempts_left = 0;          ///< writes that may still be tried; a conflict uses up one
+    int dependency_part_count = 0;  ///< records that hold its dependencies; 0: its own does
+    Revision dependency_parts_revision = 0;  ///< of the last of those records
+    bool cancelled = false;                  ///< because a dependency was cancelled
 };
 
 /// The flow that a job's submission belongs to.
@@ -28,34 +28,34 @@
     return {spec.team, spec.job_class};
 }
 
-/// The submissions that wait for their write.
+/// The submissions that wait to be written.
 class SubmissionQueue {
   public:
     SubmissionQueue(Context& ctx, OpenRequests& open_requests)
         : ctx_(ctx), open_requests_(open_requests) {}
 
-    /// Whether one more request may wait. If too many do, the newest submission of the flow with
-    /// the most waiting ones makes room, unless that is `flow` itself: one class of which thousands
-    /// wait doesn't get other classes' submissions, or status queries, refused. `flow` is empty for
-    /// a request that is no submission.
+    /// Returns whether one more request may wait; at the limit, rejects the newest submission of
+    /// the flow with the most waiting ones, unless that is `flow` itself. A class with thousands of
+    /// waiting submissions thus doesn't cause other classes' submissions, or status queries, to be
+    /// rejected. `flow` is empty for a request that is not a submission.
     bool make_room(const admission::FlowName& flow);
-    /// Rejects a submission for which there is no room, with the time after which to come back.
+    /// Rejects a submission for which there is no room, with the time after which to retry.
     void reject_full(RequestId request, const std::string& uid);
 
     void enqueue(PendingSubmission submission);
     /// The submission of job `uid`; nullptr if none waits.
     PendingSubmission* find(const std::string& uid);
-    /// The submission whose turn it is. Those whose requests were all answered are dropped; nullptr
-    /// if nothing else waits. Valid until the queue changes.
+    /// The submission that is next to be written, after dropping those whose requests were all
+    /// answered; nullptr if none is left. Valid until the queue changes.
     PendingSubmission* front();
-    /// Takes out the submission that front() returned.
+    /// Removes and returns the submission that front() returned.
     PendingSubmission pop_front();
-    /// Whether nothing waits, not even submissions whose requests were answered.
+    /// Whether the queue is empty. Submissions whose requests were answered still count as queued.
     bool empty() const { return queues_.empty(); }
 
-    /// Records that `jobs` submissions were accepted now: the rate at which the queue moves.
-    void note_accepted(std::size_t jobs);
-    /// Forgets the acceptances that are too old to count for that rate.
+    /// Records that `jobs` submissions were accepted now, for the rate at which the queue moves.
+    void record_accepted(std::size_t jobs);
+    /// Drops the acceptances that are too old to count towards that rate.
     void prune();
 
   private:
@@ -70,9 +70,9 @@
 
     Context& ctx_;
     OpenRequests& open_requests_;
-    std::map<admission::FlowName, std::deque<PendingSubmission>> queues_;  // none of them empty
+    std::map<admission::FlowName, std::deque<PendingSubmission>> queues_;  // none is empty
     admission::AdmissionController admission_controller_;                  // over queues_
-    std::deque<AcceptedBatch> accepted_;                                   // lately, oldest first
+    std::deque<AcceptedBatch> accepted_batches_;                           // recent, oldest first
 };
 
 }  // namespace cranemoor::core
--- a/src/core/requests/submission_validation.cpp
+++ b/src/core/requests/submission_validation.cpp
@@ -19,11 +19,11 @@
     return type_allowed && zone_allowed && spec.task_resources.fits_in(type.size);
 }
 
-// An array runs task by task, all other kinds are placed whole.
+// An array can run one task at a time; a job of any other kind is placed as a whole.
 bool exceeds_limit(const JobSpec& spec, const Resources& limit) {
-    Resources least = spec.task_resources * (spec.kind == JobKind::array ? 1 : spec.tasks);
-    return (limit.cpus > 0 && least.cpus > limit.cpus + Resources::rounding_tolerance) ||
-           (limit.gpus > 0 && least.gpus > limit.gpus + Resources::rounding_tolerance);
+    Resources min_resources = spec.task_resources * (spec.kind == JobKind::array ? 1 : spec.tasks);
+    return (limit.cpus > 0 && min_resources.cpus > limit.cpus + Resources::rounding_tolerance) ||
+           (limit.gpus > 0 && min_resources.gpus > limit.gpus + Resources::rounding_tolerance);
 }
 
 }  // namespace
--- a/src/core/requests/submission_validation.hpp
+++ b/src/core/requests/submission_validation.hpp
@@ -1,4 +1,4 @@
-// Submission validation: whether a job could ever run with the settings and the machine types.
+// Submission validation: whether a job could ever run under the settings and on the machine types.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 
 namespace cranemoor::core {
 
-/// Why a well-formed job can't be accepted; std::nullopt if it can. Checks in this order: its team,
-/// a machine type that a task fits on, the team's quota limit, the largest gang.
+/// Why a well-formed job can't be accepted; std::nullopt if it can. Checks in this order: the team
+/// exists, a task fits on a machine type, the team's quota limit, the largest gang.
 std::optional<Rejection> validate(const JobSpec& spec, const Context& ctx, const Quota& quota,
                                   const AgentRegistry& agents);
 
--- a/src/core/requests/submission_writer.hpp
+++ b/src/core/requests/submission_writer.hpp
@@ -1,4 +1,4 @@
-// Submission writer: the transactions that make submissions durable. Jobs that come while others
+// Submission writer: the transactions that make submissions durable. Jobs that arrive while others
 // are being written share a record, so that one write accepts them all.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace cranemoor::core {
 
-/// Writes the submissions of a SubmissionQueue in its order.
+/// Writes the submissions of a SubmissionQueue in the queue's order.
 class SubmissionWriter {
   public:
     using Batch = std::vector<PendingSubmission>;
@@ -29,23 +29,23 @@
           submission_queue_(submission_queue),
           on_written_(std::move(on_written)) {}
 
-    /// Sends the transactions that may be sent now. Submissions that fit in no record are rejected.
+    /// Sends the transactions that may be sent now. Rejects submissions too large for a record.
     void write_pending();
 
   private:
-    /// A transaction in the making, within the key-value store's limits.
+    /// A transaction that is being built, within the key-value store's limits.
     struct BatchBuilder {
         Batch batch;
         Txn txn;
-        Json listed = Json::array();  // records of the jobs that share one
-        std::size_t room = 0;         // bytes left in the shared record
+        Json shared_jobs = Json::array();   // contents of the record that jobs share
+        std::size_t shared_bytes_left = 0;  // left in that record
     };
     using DependencyParts = std::vector<std::vector<std::string>>;
 
     BatchBuilder collect_batch();
     bool add_front(BatchBuilder& builder, const PendingSubmission& submission);
-    bool fits(const BatchBuilder& builder, bool own_record, std::size_t bytes) const;
-    JobRecord new_record(const PendingSubmission& submission) const;
+    bool fits(const BatchBuilder& builder, bool own_record, std::size_t shared_bytes) const;
+    JobRecord make_record(const PendingSubmission& submission) const;
     void reject_too_long(const PendingSubmission& submission);
     void write_dependency_parts(PendingSubmission submission);
     void write_next_part(const std::shared_ptr<PendingSubmission>& submission,
@@ -57,8 +57,8 @@
     SubmissionQueue& submission_queue_;
     OnWritten on_written_;
     std::size_t writes_in_flight_ = 0;
-    double next_write_ = 0;             // steady time; counts under write overload only
-    std::uint64_t shared_records_ = 0;  // written so far: the number in the next one's key
+    double next_write_ = 0;                     // steady time; applies during write overload only
+    std::uint64_t shared_records_written_ = 0;  // numbers the keys of shared records
 };
 
 }  // namespace cranemoor::core
