--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -24,17 +24,17 @@
         agent_manager_.registry().types().empty()) {
         return;
     }
-    release_.release_marked();
-    release_.delete_old_marks();
+    release_.release_cordoned();
+    release_.delete_old_cordons();
     launcher_.send_due();
-    // Guards against a second fleet: a process that has just started knows no machines, and would
-    // launch some for every job as if there were none.
-    if (inventory_.listing_complete() && ctx_.now.steady >= next_plan_at_) {
-        next_plan_at_ = ctx_.now.steady + constants::scale_out_interval_s *
-                                              pending_queue_.round_interval_factor(
-                                                  constants::scale_out_slowdown_factor_max);
+    // Guards against launching a second fleet: a process that has just started knows no machines,
+    // and would launch some for every job as if none existed.
+    if (inventory_.listing_complete() && ctx_.now.steady >= next_plan_at_s_) {
+        next_plan_at_s_ = ctx_.now.steady + constants::scale_out_interval_s *
+                                                pending_queue_.round_interval_factor(
+                                                    constants::scale_out_slowdown_factor_max);
         scale_out();
-        scale_in_.mark_unneeded();
+        scale_in_.cordon_unneeded();
     }
 }
 
@@ -49,11 +49,11 @@
                                          jobs.push_back(&pending_job);
                                          return true;
                                      });
-    // Largest tasks first, as usual in bin packing.
+    // Largest tasks first (first-fit decreasing).
     std::stable_sort(jobs.begin(), jobs.end(), [](const auto* a, const auto* b) {
-        const Resources& x = a->job->spec.task_resources;
-        const Resources& y = b->job->spec.task_resources;
-        return std::tie(x.gpus, x.cpus) > std::tie(y.gpus, y.cpus);
+        const Resources& a_size = a->job->spec.task_resources;
+        const Resources& b_size = b->job->spec.task_resources;
+        return std::tie(a_size.gpus, a_size.cpus) > std::tie(b_size.gpus, b_size.cpus);
     });
     for (const PendingJob* pending_job : jobs) {
         plan.add_job(*pending_job);
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -1,6 +1,6 @@
-// Autoscaler: sizes the fleet. The leader launches machines for waiting jobs and headroom (scale
-// out) and releases what is not needed (scale in); every controller keeps the list of machines up
-// to date.
+// Autoscaler: keeps the fleet at the size that the jobs need. The leader launches machines for
+// pending jobs and headroom (scale out) and releases those not needed (scale in); every controller
+// keeps its list of machines up to date.
 #pragma once
 
 #include <vector>
@@ -18,8 +18,8 @@
 
 namespace cranemoor::core {
 
-/// Runs the parts of scaling out and in, in a fixed order. Pure core: all input and output goes
-/// through the Context.
+/// Runs the steps of scaling out and in, in a fixed order. Does no input or output of its own: all
+/// of it goes through the Context.
 class Autoscaler {
   public:
     /// All arguments must outlive the Autoscaler.
@@ -36,13 +36,14 @@
           release_(ctx, membership, agent_manager),
           scale_in_(ctx, agent_manager) {}
 
-    /// Periodic work: the cloud listing on every controller, all the rest on the leader.
+    /// Periodic work: machine types on every controller; the cloud listing and releases without a
+    /// record on every member; all the rest on the leader.
     void tick();
-    /// The membership epoch changed, and maybe the leader.
+    /// The membership epoch changed, and with it possibly the leader.
     void epoch_changed();
-    /// Takes in what the leader tells of its launch requests, for a failover.
-    void take_launch_notices(const std::vector<LaunchNotice>& notices) {
-        launcher_.take_notices(notices);
+    /// Stores the leader's notices of its launch requests, for a failover.
+    void handle_launch_notices(const std::vector<LaunchNotice>& notices) {
+        launcher_.handle_notices(notices);
     }
 
   private:
@@ -58,7 +59,7 @@
     MachineLauncher launcher_;
     MachineRelease release_;
     ScaleIn scale_in_;
-    double next_plan_at_ = 0;
+    double next_plan_at_s_ = 0;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/bin_packing.cpp
+++ b/src/core/autoscaling/bin_packing.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Whether waiting work should count on the machine.
+// Whether pending tasks may be packed into the machine.
 bool counts_as_bin(const Context& ctx, const AgentRegistry& agents, const Machine& machine) {
     const MachineType* type = agents.type(machine.type);
     if (type == nullptr || machine.interruption_deadline || agents.site(machine).cordon ||
         agents.zone_partitioned(machine.zone) || machine.listed_state == ListedState::failed) {
         return false;
     }
-    // One that boots for too long may still come, but nobody should wait for it.
+    // A machine that boots for too long may still come up, but no task should wait for it.
     double age_s = ctx.now.steady - machine.launched_at;
     return machine.up() || age_s <= type->boot_s * constants::boot_late_factor;
 }
@@ -41,31 +41,32 @@
         }
     }
     std::stable_sort(bins.begin(), bins.end(), [](const Bin& a, const Bin& b) {
-        return std::tie(b.kind.spot, a.empty, a.room.gpus) <
-               std::tie(a.kind.spot, b.empty, b.room.gpus);
+        return std::tie(b.kind.spot, a.empty, a.free.gpus) <
+               std::tie(a.kind.spot, b.empty, b.free.gpus);
     });
     return bins;
 }
 
 std::size_t BinPacking::first_fit(const TaskDemand& demand, const std::string& zone) {
     std::size_t& cursor = cursors_[{demand.demand_class, zone}];
-    cursor = next_fit(demand, zone, cursor);
+    cursor = find_fit_from(demand, zone, cursor);
     return cursor;
 }
 
-std::optional<std::string> BinPacking::zone_with_most_room(const TaskDemand& demand) const {
+std::optional<std::string> BinPacking::zone_with_most_fits(const TaskDemand& demand) const {
     std::optional<std::string> best;
-    int most = 0;
+    int fitting_tasks_max = 0;
     for (const auto& zone : demand.type->zones) {
         auto cursor = cursors_.find({demand.demand_class, zone});
         std::size_t from = cursor == cursors_.end() ? 0 : cursor->second;
-        int fitting = 0;
-        for (std::size_t i = next_fit(demand, zone, from);
-             i < bins_.size() && fitting < demand.spec->tasks; i = next_fit(demand, zone, i + 1)) {
-            ++fitting;
+        int fitting_tasks = 0;
+        for (std::size_t i = find_fit_from(demand, zone, from);
+             i < bins_.size() && fitting_tasks < demand.spec->tasks;
+             i = find_fit_from(demand, zone, i + 1)) {
+            ++fitting_tasks;
         }
-        if (fitting > most) {
-            most = fitting;
+        if (fitting_tasks > fitting_tasks_max) {
+            fitting_tasks_max = fitting_tasks;
             best = zone;
         }
     }
@@ -77,7 +78,7 @@
 }
 
 void BinPacking::place(std::size_t index, const Resources& task) {
-    bins_[index].room -= task;
+    bins_[index].free -= task;
     bins_[index].empty = false;
 }
 
@@ -93,11 +94,11 @@
     return type_allowed && (!spot || spec.spot) &&
            (!demand.demand_class.prefers_spot || spot || !bin.empty) &&
            spec.task_resources.fits_in(
-               leftovers_only ? PlacementConstraints::leftover_room(*type, bin.room) : bin.room);
+               leftovers_only ? PlacementConstraints::leftover_room(*type, bin.free) : bin.free);
 }
 
-std::size_t BinPacking::next_fit(const TaskDemand& demand, const std::string& zone,
-                                 std::size_t from) const {
+std::size_t BinPacking::find_fit_from(const TaskDemand& demand, const std::string& zone,
+                                      std::size_t from) const {
     while (from < bins_.size() &&
            (bins_[from].kind.zone != zone || !accepts(bins_[from], demand))) {
         ++from;
--- a/src/core/autoscaling/bin_packing.hpp
+++ b/src/core/autoscaling/bin_packing.hpp
@@ -1,6 +1,6 @@
-// Bin packing of waiting tasks into machines: first fit over the free room of machines that are
-// there or coming. Pure bookkeeping without input or output; ScaleOutPlan decides what to launch
-// for tasks that fit no bin.
+// Bin packing of pending tasks into machines: first fit over the free resources of machines that
+// exist or are being launched. Does no input or output; ScaleOutPlan decides what to launch for
+// tasks that fit no bin.
 #pragma once
 
 #include <compare>
@@ -18,40 +18,42 @@
 
 namespace cranemoor::core {
 
-/// The free room of one machine that is there, booting or asked for.
+/// One machine that is up, booting or requested, with its free resources.
 struct Bin {
     InstanceKind kind;
     bool empty = true;  ///< no task is placed on it
-    Resources room;
+    Resources free;
 };
 
-/// Equal for tasks that the same bins take.
+/// Equal for tasks that are accepted by the same bins.
 struct DemandClass {
-    int number = 0;             ///< PendingJob::equivalence_class
-    bool prefers_spot = false;  ///< takes an empty on-demand machine for nothing but lack of spot
+    int equivalence_class = 0;  ///< PendingJob::equivalence_class
+    bool prefers_spot = false;  ///< empty on-demand machines only for lack of spot
 
     friend bool operator<(const DemandClass& a, const DemandClass& b) {
-        return std::tie(a.number, a.prefers_spot) < std::tie(b.number, b.prefers_spot);
+        return std::tie(a.equivalence_class, a.prefers_spot) <
+               std::tie(b.equivalence_class, b.prefers_spot);
     }
 };
 
-/// What the tasks of one job demand of their machines.
+/// The requirements of one job's tasks on their machines.
 struct TaskDemand {
     const JobSpec* spec = nullptr;
-    const MachineType* type = nullptr;  ///< the cheapest type that takes a task
-    bool best_effort = false;           ///< idle work: takes only leftovers of on-demand machines
+    const MachineType* type = nullptr;  ///< the cheapest type that fits a task
+    bool best_effort = false;           ///< uses only leftover resources of on-demand machines
     DemandClass demand_class;
-    std::optional<std::string> only_zone;      ///< the zone that all tasks must be in
+    std::optional<std::string> required_zone;  ///< all tasks must be in it; null: no restriction
     std::map<std::string, int> tasks_by_zone;  ///< tasks placed so far
 };
 
-/// The bins of the machines that new work can count on and of the pending launches, in the order in
-/// which they are to be filled: fuller ones first, so that empty machines stay whole.
+/// The bins of the machines available to pending tasks and of the pending launches, in the order in
+/// which they are filled: spot instances first, then fuller machines before emptier ones, so that
+/// empty machines stay whole.
 std::vector<Bin> collect_bins(const Context& ctx, const AgentRegistry& agents,
                               const std::vector<PendingLaunch>& pending);
 
-/// First-fit packing. Room only shrinks while tasks are packed, so for each demand class and zone
-/// the search goes on where the last one ended.
+/// First-fit packing. Free resources only shrink while tasks are packed, so for each demand class
+/// and zone a search continues where the last one ended.
 class BinPacking {
   public:
     /// `agents` must outlive the BinPacking.
@@ -60,13 +62,13 @@
 
     /// All bins, in the order in which they are filled.
     const std::vector<Bin>& bins() const { return bins_; }
-    /// Index of the first bin in the zone that takes a task, or `bins().size()`.
+    /// Index of the first bin in the zone that accepts a task; `bins().size()` if none does.
     std::size_t first_fit(const TaskDemand& demand, const std::string& zone);
-    /// The zone in which most of the job's tasks fit, if any fits.
-    std::optional<std::string> zone_with_most_room(const TaskDemand& demand) const;
+    /// The zone in which most of the job's tasks fit; null if no task fits anywhere.
+    std::optional<std::string> zone_with_most_fits(const TaskDemand& demand) const;
     /// Adds an empty machine as the last bin.
     void add(const InstanceKind& kind, const Resources& size);
-    /// Takes the room of one task from a bin.
+    /// Subtracts the resources of one task from a bin.
     void place(std::size_t index, const Resources& task);
 
   private:
@@ -80,7 +82,8 @@
     };
 
     bool accepts(const Bin& bin, const TaskDemand& demand) const;
-    std::size_t next_fit(const TaskDemand& demand, const std::string& zone, std::size_t from) const;
+    std::size_t find_fit_from(const TaskDemand& demand, const std::string& zone,
+                              std::size_t from) const;
 
     const AgentRegistry& agents_;
     std::vector<Bin> bins_;
--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// s after which a failed request for the machine types is repeated
+// Delay before a failed request for the machine types is repeated.
 constexpr double types_retry_s = 1.0;
 
 }  // namespace
 
 void CloudInventory::refresh_types() {
-    if (types_in_flight_ || ctx_.now.steady < next_types_at_) {
+    if (types_in_flight_ || ctx_.now.steady < next_types_at_s_) {
         return;
     }
     types_in_flight_ = true;
@@ -23,15 +23,15 @@
         types_in_flight_ = false;
         if (reply.status == CloudReply::Status::ok) {
             agent_manager_.registry().set_machine_types(reply.types);
-            next_types_at_ = ctx_.now.steady + constants::machine_types_interval_s;
+            next_types_at_s_ = ctx_.now.steady + constants::machine_types_interval_s;
         } else {
-            next_types_at_ = ctx_.now.steady + types_retry_s;
+            next_types_at_s_ = ctx_.now.steady + types_retry_s;
         }
     });
 }
 
-// As often as the provider renews the listing, and no more pages than a share of the request rate
-// allows.
+// As often as the provider refreshes the listing, but with no more pages than this controller's
+// share of the request limit allows.
 double CloudInventory::listing_interval_s() const {
     bool leader = membership_.is_leader();
     double pages = 1 + std::floor(static_cast<double>(agent_manager_.registry().machines().size()) /
@@ -46,14 +46,14 @@
 }
 
 void CloudInventory::refresh_listing() {
-    if (listing_in_flight_ || ctx_.now.steady < next_listing_at_) {
+    if (listing_in_flight_ || ctx_.now.steady < next_listing_at_s_) {
         return;
     }
-    next_listing_at_ = ctx_.now.steady + listing_interval_s();
+    next_listing_at_s_ = ctx_.now.steady + listing_interval_s();
     request_listing_page("");
 }
 
-// `after`: name of the last machine of the page before, empty for the first page.
+// `after`: name of the last machine on the previous page; empty for the first page.
 void CloudInventory::request_listing_page(const std::string& after) {
     listing_in_flight_ = true;
     CloudCall call;
--- a/src/core/autoscaling/cloud_inventory.hpp
+++ b/src/core/autoscaling/cloud_inventory.hpp
@@ -1,4 +1,4 @@
-// CloudInventory: keeps the fleet's machine types and machine listing up to date from the cloud
+// CloudInventory: keeps the machine types and the listing of machines up to date from the cloud
 // provider. Every controller runs it, the leader most often.
 #pragma once
 
@@ -18,12 +18,12 @@
     CloudInventory(Context& ctx, const Membership& membership, AgentManager& agent_manager)
         : ctx_(ctx), membership_(membership), agent_manager_(agent_manager) {}
 
-    /// Requests the machine types if they are due and no request is in flight.
+    /// Requests the machine types if they are due and no such request is in flight.
     void refresh_types();
     /// Requests the first page of the listing if it is due and no page is in flight.
     void refresh_listing();
-    /// Makes the listing due now.
-    void expire_listing() { next_listing_at_ = 0; }
+    /// Makes the listing due at once.
+    void expire_listing() { next_listing_at_s_ = 0; }
     /// Whether the listing has been read to its end at least once.
     bool listing_complete() const { return listing_complete_; }
 
@@ -35,10 +35,10 @@
     const Membership& membership_;
     AgentManager& agent_manager_;
     bool types_in_flight_ = false;
-    double next_types_at_ = 0;
+    double next_types_at_s_ = 0;
     bool listing_in_flight_ = false;
     bool listing_complete_ = false;
-    double next_listing_at_ = 0;
+    double next_listing_at_s_ = 0;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/headroom.cpp
+++ b/src/core/autoscaling/headroom.cpp
@@ -6,8 +6,8 @@
 namespace cranemoor::core {
 
 int headroom_machines(const Context& ctx, const AgentManager& agent_manager) {
-    // About as many machines become free as are asked for; what must be kept is the deviation
-    // from that, which is large where one job takes many machines.
+    // About as many machines become free as are requested, so only the deviation from that must
+    // be kept. It is large where one job takes many machines.
     auto [sum, squares] = agent_manager.job_arrivals().whole_machine_arrivals(
         ctx.now.wall - constants::arrivals_history_s);
     double deviation = std::sqrt(squares / constants::arrivals_history_s *
--- a/src/core/autoscaling/headroom.hpp
+++ b/src/core/autoscaling/headroom.hpp
@@ -1,4 +1,4 @@
-// Headroom: how many empty machines are kept for work that has not been submitted yet.
+// Headroom: how many empty machines are kept for jobs that have not been submitted yet.
 #pragma once
 
 #include "core/agents/agent_manager.hpp"
@@ -6,9 +6,9 @@
 
 namespace cranemoor::core {
 
-/// Empty on-demand machines to keep: as many as jobs that take whole machines may ask for during
-/// one boot, forecast from the arrivals of the last `constants::arrivals_history_s` seconds, and at
-/// most the operators' `headroom_machines_max`.
+/// Number of empty on-demand machines to keep: as many as jobs that need whole machines may request
+/// during one boot, forecast from the arrivals of the last `constants::arrivals_history_s` seconds,
+/// and at most the tunable `headroom_machines_max`.
 int headroom_machines(const Context& ctx, const AgentManager& agent_manager);
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/instance_kind.hpp
+++ b/src/core/autoscaling/instance_kind.hpp
@@ -1,4 +1,4 @@
-// InstanceKind: what the cloud provider is asked for when a machine is launched.
+// InstanceKind: the kind of cloud instance that a launch request asks for.
 #pragma once
 
 #include <compare>
@@ -7,7 +7,7 @@
 
 namespace cranemoor::core {
 
-/// Machine type, zone and purchase option of a cloud instance. Ordered by these, in this order.
+/// Machine type, zone and purchase option of a cloud instance; ordered by these fields in turn.
 struct InstanceKind {
     std::string type;   ///< name of the machine type
     std::string zone;   ///< availability zone
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// s after which a request of unknown outcome is repeated
+// Delay before a request that was refused or has an unknown outcome is repeated.
 constexpr double launch_retry_s = 1.0;
 
-LaunchNotice notice_of(const PendingLaunch& launch, bool open,
-                       const std::vector<std::string>& machines) {
+LaunchNotice make_notice(const PendingLaunch& launch, bool open,
+                         const std::vector<std::string>& machines) {
     return {launch.request, launch.kind.type, launch.kind.zone, launch.kind.spot, launch.count,
             open,           machines};
 }
@@ -20,14 +20,14 @@
 
 void MachineLauncher::epoch_changed() {
     if (membership_.is_leader()) {
-        take_over();
+        take_over_requests();
     } else {
-        // What they may still launch is up to the next leader, which was told of them.
+        // The next leader was notified of these requests and handles what they may still launch.
         pending_.clear();
     }
 }
 
-// s that the listing may need to show what a request launched
+// Longest time, in seconds, until the listing shows what a request launched.
 double MachineLauncher::listing_delay_s() const {
     return ctx_.settings.list_lag_s * constants::listing_delay_lag_factor +
            constants::leader_listing_interval_s;
@@ -35,46 +35,47 @@
 
 void MachineLauncher::expire_notices() {
     std::erase_if(notices_, [&](const auto& entry) {
-        return ctx_.now.steady - entry.second.received_at > listing_delay_s();
+        return ctx_.now.steady - entry.second.received_at_s > listing_delay_s();
     });
 }
 
-void MachineLauncher::take_notices(const std::vector<LaunchNotice>& notices) {
+void MachineLauncher::handle_notices(const std::vector<LaunchNotice>& notices) {
     expire_notices();
     for (const auto& notice : notices) {
-        auto [it, first] =
+        auto [entry, inserted] =
             notices_.try_emplace(notice.request, ReceivedNotice{notice, ctx_.now.steady});
-        if (!first && it->second.notice.open) {
-            it->second.notice = notice;
+        if (!inserted && entry->second.notice.open) {
+            entry->second.notice = notice;
         }
     }
 }
 
-// Guards against machines launched twice, or idle until the listing shows them, when the leader
-// fails: its open requests are repeated under the same names, which launches nothing that was
-// launched before, and the machines that it was given count at once.
-void MachineLauncher::take_over() {
+// Guards against machines launched twice, or unused until the listing shows them, when the leader
+// fails: its open requests are repeated with the same idempotency keys, which launches nothing that
+// was launched before, and the machines that it was given count at once.
+void MachineLauncher::take_over_requests() {
     expire_notices();
     for (const auto& [request, received] : std::exchange(notices_, {})) {
         const LaunchNotice& notice = received.notice;
         InstanceKind kind{notice.type, notice.zone, notice.spot};
         if (!notice.open) {
-            add_launched(kind, notice.machines, ctx_.now.steady - received.received_at);
+            add_launched_machines(kind, notice.machines, ctx_.now.steady - received.received_at_s);
             continue;
         }
-        bool known = std::any_of(
+        bool already_pending = std::any_of(
             pending_.begin(), pending_.end(),
-            [&, name = request](const PendingLaunch& launch) { return launch.request == name; });
-        if (!known) {
-            ctx_.info("rental {}: taken over", request);
+            [&, name = request](const PendingLaunch& pending) { return pending.request == name; });
+        if (!already_pending) {
+            ctx_.info("launch request {}: taken over from an earlier leader", request);
             pending_.push_back({request, kind, notice.count, 0, false});
         }
     }
 }
 
-// Adds machines that the listing does not show yet.
-void MachineLauncher::add_launched(const InstanceKind& kind,
-                                   const std::vector<std::string>& machines, double age_s) {
+// Adds launched machines, which the listing does not show yet, unless they are cordoned.
+void MachineLauncher::add_launched_machines(const InstanceKind& kind,
+                                            const std::vector<std::string>& machines,
+                                            double age_s) {
     std::vector<ListedMachine> listed;
     for (const auto& machine : machines) {
         if (ctx_.jobs.cordon(machine) == nullptr) {
@@ -101,15 +102,15 @@
 void MachineLauncher::request(const std::map<InstanceKind, int>& launches) {
     std::vector<LaunchNotice> notices;
     for (const auto& [kind, count] : launches) {
-        for (int left = std::min(count, constants::launch_machines_per_plan_max); left > 0;
-             left -= constants::launch_machines_max) {
+        for (int remaining = std::min(count, constants::launch_machines_per_plan_max);
+             remaining > 0; remaining -= constants::launch_machines_max) {
             PendingLaunch launch;
             launch.request =
                 fmt::format("{}-{}-{}", ctx_.settings.name, ctx_.fencing_token, ++requests_made_);
             launch.kind = kind;
-            launch.count = std::min(left, constants::launch_machines_max);
+            launch.count = std::min(remaining, constants::launch_machines_max);
             pending_.push_back(launch);
-            notices.push_back(notice_of(launch, true, {}));
+            notices.push_back(make_notice(launch, true, {}));
         }
     }
     notify_peers(notices);
@@ -117,7 +118,7 @@
 
 void MachineLauncher::send_due() {
     for (auto& launch : pending_) {
-        if (!launch.in_flight && ctx_.now.steady >= launch.next_attempt) {
+        if (!launch.in_flight && ctx_.now.steady >= launch.next_send_at_s) {
             send(launch);
         }
     }
@@ -132,19 +133,19 @@
     call.zone = launch.kind.zone;
     call.spot = launch.kind.spot;
     call.count = launch.count;
-    ctx_.info("rent {}: {} of {} in {}{}", call.request, call.count, call.type, call.zone,
-              call.spot ? ", spot" : "");
+    ctx_.info("launch request {}: requesting {} of {} in {}{}", call.request, call.count, call.type,
+              call.zone, call.spot ? ", spot" : "");
     ctx_.cloud(call, [this, request = launch.request](const CloudReply& reply) {
         handle_reply(request, reply);
     });
 }
 
 void MachineLauncher::handle_reply(const std::string& request, const CloudReply& reply) {
-    auto launch = std::find_if(pending_.begin(), pending_.end(), [&](const PendingLaunch& other) {
-        return other.request == request;
+    auto launch = std::find_if(pending_.begin(), pending_.end(), [&](const PendingLaunch& pending) {
+        return pending.request == request;
     });
     if (launch == pending_.end()) {
-        return;  // of an earlier epoch: the listing will show what it launched
+        return;  // from an earlier epoch: the listing will show what it launched
     }
     launch->in_flight = false;
     switch (reply.status) {
@@ -152,41 +153,41 @@
             finish_launched(launch, reply.machines);
             break;
         case CloudReply::Status::no_capacity:
-            ctx_.info("rental {}: no capacity", request);
-            notify_peers({notice_of(*launch, false, {})});
+            ctx_.info("launch request {}: no capacity at the cloud provider", request);
+            notify_peers({make_notice(*launch, false, {})});
             set_out_of_capacity(launch->kind);
             pending_.erase(launch);
             break;
         case CloudReply::Status::bad_request:
-            ctx_.error("rental {}: refused as malformed", request);
+            ctx_.error("launch request {}: rejected as malformed by the cloud provider", request);
             pending_.erase(launch);
             break;
         default:
-            // It may have been executed: repeated under its own name, so that it can't launch
-            // twice.
-            launch->next_attempt = ctx_.now.steady + launch_retry_s;
+            // It may have been executed: it is repeated with its own idempotency key, so that it
+            // can't launch machines twice.
+            launch->next_send_at_s = ctx_.now.steady + launch_retry_s;
     }
 }
 
 void MachineLauncher::finish_launched(std::vector<PendingLaunch>::iterator launch,
                                       const std::vector<std::string>& machines) {
-    ctx_.info("rented {}: {}", launch->request, fmt::join(machines, ","));
-    notify_peers({notice_of(*launch, false, machines)});
+    ctx_.info("launch request {}: launched {}", launch->request, fmt::join(machines, ","));
+    notify_peers({make_notice(*launch, false, machines)});
     if (static_cast<int>(machines.size()) < launch->count) {
         set_out_of_capacity(launch->kind);
     }
     InstanceKind kind = launch->kind;
     pending_.erase(launch);
-    add_launched(kind, machines, 0);
+    add_launched_machines(kind, machines, 0);
 }
 
 bool MachineLauncher::out_of_capacity(const InstanceKind& kind) const {
-    auto until = no_capacity_until_.find(kind);
-    return until != no_capacity_until_.end() && until->second > ctx_.now.steady;
+    auto backoff = no_capacity_until_s_.find(kind);
+    return backoff != no_capacity_until_s_.end() && backoff->second > ctx_.now.steady;
 }
 
 void MachineLauncher::set_out_of_capacity(const InstanceKind& kind) {
-    no_capacity_until_[kind] = ctx_.now.steady + constants::no_capacity_backoff_s;
+    no_capacity_until_s_[kind] = ctx_.now.steady + constants::no_capacity_backoff_s;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/machine_launcher.hpp
+++ b/src/core/autoscaling/machine_launcher.hpp
@@ -1,6 +1,6 @@
-// MachineLauncher: the launch requests of the leader at the cloud provider (scale out). Requests
-// are idempotent and outlive a failover: the leader tells its peers of each, and a new leader
-// repeats those still in flight under their old names.
+// MachineLauncher: the leader's launch requests to the cloud provider (scale out). Requests are
+// idempotent and survive a failover: the leader notifies its peers of each, and a new leader
+// repeats those still open with their old idempotency keys.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,13 @@
 
 namespace cranemoor::core {
 
-/// A launch request without a final answer of the cloud provider yet.
+/// A launch request to which the cloud provider has not given a final answer yet.
 struct PendingLaunch {
-    std::string request;  ///< its name: the idempotency key at the provider
+    std::string request;  ///< its name, the idempotency key at the provider
     InstanceKind kind;
-    int count = 0;            ///< machines asked for
-    double next_attempt = 0;  ///< steady time before which it is not sent (again)
-    bool in_flight = false;   ///< sent, the answer is still to come
+    int count = 0;              ///< machines requested
+    double next_send_at_s = 0;  ///< steady time before which it is not sent (again)
+    bool in_flight = false;     ///< sent, and not answered yet
 };
 
 /// Sends launch requests, repeats those of unknown outcome, remembers where the provider had no
@@ -32,35 +32,36 @@
     MachineLauncher(Context& ctx, const Membership& membership, AgentManager& agent_manager)
         : ctx_(ctx), membership_(membership), agent_manager_(agent_manager) {}
 
-    /// The membership epoch changed: the leader takes over the requests that it was told of, any
-    /// other controller drops its own.
+    /// The membership epoch changed: the leader takes over the requests that it was notified of,
+    /// any other controller drops its own.
     void epoch_changed();
-    /// Remembers the leader's notices for a failover.
-    void take_notices(const std::vector<LaunchNotice>& notices);
-    /// Adds requests for these numbers of machines, split to the provider's maximum per request,
-    /// and tells the peers. They are sent by `send_due`.
+    /// Stores the leader's notices for a failover.
+    void handle_notices(const std::vector<LaunchNotice>& notices);
+    /// Adds requests for these numbers of machines, at most
+    /// `constants::launch_machines_per_plan_max` of each kind and split to the provider's maximum
+    /// per request, and notifies the peers. The requests are sent by `send_due`.
     void request(const std::map<InstanceKind, int>& launches);
     /// Sends each request that is due and not in flight.
     void send_due();
     /// All requests without a final answer, oldest first.
     const std::vector<PendingLaunch>& pending() const { return pending_; }
-    /// Whether as many requests are pending as are useful at once.
+    /// Whether `constants::pending_launches_max` or more requests are pending.
     bool at_limit() const { return pending_.size() >= constants::pending_launches_max; }
-    /// Whether the provider had too few machines of that kind lately.
+    /// Whether the provider recently had too few machines of that kind.
     bool out_of_capacity(const InstanceKind& kind) const;
 
   private:
-    // A notice of the leader and when it came.
+    // A notice of the leader, and the steady time when it arrived.
     struct ReceivedNotice {
         LaunchNotice notice;
-        double received_at = 0;
+        double received_at_s = 0;
     };
 
     double listing_delay_s() const;
     void expire_notices();
-    void take_over();
-    void add_launched(const InstanceKind& kind, const std::vector<std::string>& machines,
-                      double age_s);
+    void take_over_requests();
+    void add_launched_machines(const InstanceKind& kind, const std::vector<std::string>& machines,
+                               double age_s);
     void notify_peers(const std::vector<LaunchNotice>& notices) const;
     void send(PendingLaunch& launch);
     void handle_reply(const std::string& request, const CloudReply& reply);
@@ -75,7 +76,7 @@
     std::vector<PendingLaunch> pending_;
     // By request, until the listing shows what they launched.
     std::map<std::string, ReceivedNotice> notices_;
-    std::map<InstanceKind, double> no_capacity_until_;
+    std::map<InstanceKind, double> no_capacity_until_s_;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -8,15 +8,15 @@
 
 namespace cranemoor::core {
 
-void ScaleIn::mark_unneeded() {
-    mark_never_up();
+void ScaleIn::cordon_unneeded() {
+    cordon_never_up();
     std::vector<Machine*> idle = idle_machines();
     log_fleet(idle.size());
-    mark_idle(std::move(idle));
+    cordon_idle(std::move(idle));
 }
 
 // Machines that never came up are charged until they are released.
-void ScaleIn::mark_never_up() {
+void ScaleIn::cordon_never_up() {
     for (Machine* machine : agent_manager_.registry().all()) {
         const MachineType* type = agent_manager_.registry().type(machine->type);
         if (type == nullptr || machine->up() || agent_manager_.registry().site(*machine).cordon) {
@@ -43,36 +43,36 @@
 }
 
 void ScaleIn::log_fleet(std::size_t idle) {
-    if (ctx_.now.steady < next_log_at_) {
+    if (ctx_.now.steady < next_log_at_s_) {
         return;
     }
-    next_log_at_ = ctx_.now.steady + constants::fleet_log_interval_s;
+    next_log_at_s_ = ctx_.now.steady + constants::fleet_log_interval_s;
     int up = 0;
     double free_gpus = 0;
     for (const auto& [name, machine] : agent_manager_.registry().machines()) {
-        bool counts = machine.up() && !machine.release_confirmed &&
-                      !agent_manager_.registry().site(machine).cordon;
-        up += counts ? 1 : 0;
-        free_gpus += counts && !agent_manager_.registry().site(machine).tasks.empty()
+        bool in_fleet = machine.up() && !machine.release_confirmed &&
+                        !agent_manager_.registry().site(machine).cordon;
+        up += in_fleet ? 1 : 0;
+        free_gpus += in_fleet && !agent_manager_.registry().site(machine).tasks.empty()
                          ? agent_manager_.registry().room(machine).gpus
                          : 0;
     }
     ctx_.info(
-        "fleet: {} machines up, {} of them empty, {} to keep so, {:.0f} GPUs free beside "
-        "other work, {} jobs open",
+        "fleet: {} machines up, {} of them empty, headroom {}, {:.0f} GPUs free on machines "
+        "in use, {} jobs open",
         up, idle, headroom_machines(ctx_, agent_manager_), free_gpus, ctx_.jobs.open_jobs().size());
 }
 
-// Those idle for longest go first, and only those beyond the headroom; spot instances, which most
-// jobs may not use, are no headroom.
-void ScaleIn::mark_idle(std::vector<Machine*> idle) {
+// Cordons only machines beyond the headroom, those idle for longest first. Spot instances don't
+// count as headroom, as most jobs may not use them.
+void ScaleIn::cordon_idle(std::vector<Machine*> idle) {
     std::sort(idle.begin(), idle.end(), [](const Machine* a, const Machine* b) {
         return std::tie(a->spot, a->empty_since) > std::tie(b->spot, b->empty_since);
     });
-    int keep = headroom_machines(ctx_, agent_manager_);
+    int headroom_left = headroom_machines(ctx_, agent_manager_);
     for (Machine* machine : idle) {
-        if (!machine->spot && keep > 0) {
-            --keep;
+        if (!machine->spot && headroom_left > 0) {
+            --headroom_left;
             continue;
         }
         double idle_since = std::max(machine->empty_since, machine->launched_at);
--- a/src/core/autoscaling/scale_in.hpp
+++ b/src/core/autoscaling/scale_in.hpp
@@ -1,5 +1,5 @@
-// ScaleIn: marks machines that are not needed for release: those that never came up, and those
-// that have been empty for long beyond the headroom.
+// ScaleIn: cordons machines that are not needed, for their release: those that never came up, and
+// those beyond the headroom that have been empty for long.
 #pragma once
 
 #include <vector>
@@ -9,25 +9,26 @@
 
 namespace cranemoor::core {
 
-/// The leader's decision which machines to give back to the cloud provider. It only marks them:
-/// MachineRelease releases what is marked.
+/// The leader's decision which machines are not needed any more. It only cordons them:
+/// MachineRelease releases cordoned machines.
 class ScaleIn {
   public:
     /// `ctx` and `agent_manager` must outlive the ScaleIn.
     ScaleIn(Context& ctx, AgentManager& agent_manager) : ctx_(ctx), agent_manager_(agent_manager) {}
 
-    /// Marks machines that never came up and idle ones; logs the size of the fleet now and then.
-    void mark_unneeded();
+    /// Cordons machines that never came up and idle ones; logs the size of the fleet every
+    /// `constants::fleet_log_interval_s` seconds.
+    void cordon_unneeded();
 
   private:
-    void mark_never_up();
+    void cordon_never_up();
     std::vector<Machine*> idle_machines() const;
-    void mark_idle(std::vector<Machine*> idle);
+    void cordon_idle(std::vector<Machine*> idle);
     void log_fleet(std::size_t idle);
 
     Context& ctx_;
     AgentManager& agent_manager_;
-    double next_log_at_ = 0;
+    double next_log_at_s_ = 0;
 };
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -23,25 +23,25 @@
     const Job& job = *pending_job.job;
     const JobSpec& spec = job.spec;
     const MachineType* type = cheapest_type_for(spec);
-    // Nothing is launched for a job that is likely to fail again, unless it finds no room for
-    // long: it must have its retries.
+    // Nothing is launched for a job that is likely to fail again, unless it has been pending for
+    // long: it must get its retries.
     bool likely_to_fail = job.fails_repeatedly() && ctx_.now.steady - pending_job.pending_since <
                                                         constants::job_backoff_max_s;
     if (type == nullptr || likely_to_fail) {
         return;
     }
     TaskDemand demand = demand_of(pending_job, *type);
-    // Whether all tasks of its demand class can go to the same bins.
+    // Without zone constraints, all tasks of a demand class can go to the same bins.
     bool any_zone = !spec.zone_spread && !spec.same_zone && !spec.zone;
     if (any_zone && unplaceable_.contains(demand.demand_class)) {
         return;
     }
     for (int i = 0; i < job.open(); ++i) {
-        Resources planned = planned_[spec.team] + spec.task_resources;
+        Resources planned = planned_by_team_[spec.team] + spec.task_resources;
         if (!quota_.within_limit(spec.team, planned)) {
             return;
         }
-        planned_[spec.team] = planned;
+        planned_by_team_[spec.team] = planned;
         if (!place_task(demand)) {
             if (any_zone) {
                 unplaceable_.insert(demand.demand_class);
@@ -57,32 +57,32 @@
     TaskDemand demand;
     demand.spec = &spec;
     demand.type = &type;
-    // Best-effort work has spot instances launched for it, on-demand ones only if it may not use
-    // others.
+    // For best-effort jobs spot instances are launched; on-demand ones only if the job may not use
+    // spot instances.
     demand.best_effort = PlacementConstraints::is_best_effort_spot(spec);
-    demand.only_zone = spec.zone;
+    demand.required_zone = spec.zone;
     if (spec.zone_spread || spec.same_zone) {
         job.each_placement([&](int, const Placement& placement) {
             demand.tasks_by_zone[placement.zone]++;
             if (spec.same_zone) {
-                demand.only_zone = placement.zone;
+                demand.required_zone = placement.zone;
             }
             return true;
         });
     }
     // A job that may use spot instances takes an empty on-demand machine only if no spot instance
-    // can be had.
+    // can be launched.
     bool prefers_spot =
-        spec.spot && (demand.best_effort || pick_zone(type.name, true, demand.only_zone));
+        spec.spot && (demand.best_effort || pick_zone(type.name, true, demand.required_zone));
     demand.demand_class = {pending_job.equivalence_class, prefers_spot};
-    if (spec.same_zone && !demand.only_zone && spec.tasks > 1) {
-        // So that little must be launched beside the room that is there.
-        demand.only_zone = packing_.zone_with_most_room(demand);
+    if (spec.same_zone && !demand.required_zone && spec.tasks > 1) {
+        // Uses as much of the existing free room as possible, so that little is launched.
+        demand.required_zone = packing_.zone_with_most_fits(demand);
     }
     return demand;
 }
 
-// Places one task in a bin, if need be that of a new machine; false if none can be had now.
+// Places one task in a bin, or else in that of a new machine; false if none can be launched now.
 bool ScaleOutPlan::place_task(TaskDemand& demand) {
     const JobSpec& spec = *demand.spec;
     Zones excluded;
@@ -93,14 +93,14 @@
     packing_.place(index, spec.task_resources);
     const std::string& zone = packing_.bins()[index].kind.zone;
     demand.tasks_by_zone[zone]++;
-    if (spec.same_zone && !demand.only_zone) {
-        demand.only_zone = zone;
+    if (spec.same_zone && !demand.required_zone) {
+        demand.required_zone = zone;
     }
     return true;
 }
 
-// The first bin that takes a task, or the number of bins. Adds the zones to `excluded` in which the
-// job has all the tasks that its spread allows.
+// The first bin that accepts a task, or the number of bins. Adds to `excluded` the zones in which
+// the job already has as many tasks as its zone spread allows.
 std::size_t ScaleOutPlan::first_fit(TaskDemand& demand, Zones& excluded) {
     const JobSpec& spec = *demand.spec;
     std::size_t found = packing_.bins().size();
@@ -109,7 +109,7 @@
             excluded.insert(zone);
             continue;
         }
-        if (demand.only_zone && *demand.only_zone != zone) {
+        if (demand.required_zone && *demand.required_zone != zone) {
             continue;
         }
         found = std::min(found, packing_.first_fit(demand, zone));
@@ -117,14 +117,14 @@
     return found;
 }
 
-// Launches one more machine for the job, as the last bin; false if none can be had now.
+// Plans one more machine for the job, as the last bin; false if none can be launched now.
 bool ScaleOutPlan::launch_for(const TaskDemand& demand, const Zones& excluded) {
     bool spot = demand.spec->spot;
     const std::string& type = demand.type->name;
-    auto zone = pick_zone(type, spot, demand.only_zone, excluded);
+    auto zone = pick_zone(type, spot, demand.required_zone, excluded);
     if (!zone && spot && !demand.best_effort) {
         spot = false;
-        zone = pick_zone(type, spot, demand.only_zone, excluded);
+        zone = pick_zone(type, spot, demand.required_zone, excluded);
     }
     if (!zone) {
         return false;
@@ -138,14 +138,15 @@
     return true;
 }
 
-// The zone to launch in: allowed, with capacity as far as known, and fewest machines.
+// The allowed zone with the fewest machines, without those known to be out of capacity; null: none.
 std::optional<std::string> ScaleOutPlan::pick_zone(const std::string& type, bool spot,
-                                                   const std::optional<std::string>& only_zone,
+                                                   const std::optional<std::string>& required_zone,
                                                    const Zones& excluded) {
     std::optional<std::string> best;
     for (const auto& zone : agent_manager_.registry().type(type)->zones) {
-        if ((only_zone && *only_zone != zone) || agent_manager_.registry().zone_partitioned(zone) ||
-            excluded.contains(zone) || launcher_.out_of_capacity({type, zone, spot})) {
+        if ((required_zone && *required_zone != zone) ||
+            agent_manager_.registry().zone_partitioned(zone) || excluded.contains(zone) ||
+            launcher_.out_of_capacity({type, zone, spot})) {
             continue;
         }
         if (!best || machines_by_zone_[zone] < machines_by_zone_[*best]) {
@@ -195,11 +196,11 @@
 
 void ScaleOutPlan::add_spot_headroom() {
     const MachineType* launch_type = cheapest_type();
-    double free_machines = 0;  // room on spot instances, in parts of a machine by their CPUs
+    double free_machines = 0;  // free room on spot instances, in machines, counted by CPUs
     for (const auto& bin : packing_.bins()) {
         const MachineType* type = agent_manager_.registry().type(bin.kind.type);
-        bool counts = bin.kind.spot && type != nullptr && type->size.cpus > 0;
-        free_machines += counts ? bin.room.cpus / type->size.cpus : 0;
+        bool is_spot_room = bin.kind.spot && type != nullptr && type->size.cpus > 0;
+        free_machines += is_spot_room ? bin.free.cpus / type->size.cpus : 0;
     }
     if (launch_type != nullptr && free_machines < constants::spot_headroom_machines &&
         agent_manager_.job_arrivals().spot_arrivals(ctx_.now.wall - constants::arrivals_history_s) >
--- a/src/core/autoscaling/scale_out_plan.hpp
+++ b/src/core/autoscaling/scale_out_plan.hpp
@@ -1,6 +1,6 @@
-// ScaleOutPlan: which machines to launch for the jobs that wait, and as headroom. Packs the waiting
-// tasks into the machines that are there or coming, and counts a new machine for each task that
-// fits none.
+// ScaleOutPlan: decides which machines to launch for pending jobs and as headroom. Packs the
+// pending tasks into machines that exist or are being launched, and plans new machines for tasks
+// that fit none.
 #pragma once
 
 #include <map>
@@ -18,22 +18,23 @@
 
 namespace cranemoor::core {
 
-/// One planning pass. Made anew for each; the order of the calls to `add_job` decides who gets the
-/// room that is there.
+/// One planning pass; a new object is made for each. The order of the calls to `add_job` decides
+/// which job gets the free resources.
 class ScaleOutPlan {
   public:
     /// All arguments must outlive the plan. The pending launches of `launcher` count as machines.
     ScaleOutPlan(const Context& ctx, const AgentManager& agent_manager, const Quota& quota,
                  const MachineLauncher& launcher);
 
-    /// Packs the open tasks of a job, and launches machines for those that fit none.
+    /// Packs the open tasks of a job, and plans machines for those that fit none.
     void add_job(const PendingJob& pending_job);
-    /// Launches on-demand machines until `machines` are empty.
+    /// Plans on-demand machines until at least `machines` are empty.
     void add_headroom(int machines);
-    /// Launches one spot instance if little room is left on them while jobs for them keep coming.
+    /// Plans one spot instance if little room is left on the existing ones while jobs that may use
+    /// them keep arriving.
     void add_spot_headroom();
-    /// Machines to launch. A count may exceed `constants::launch_machines_per_plan_max`, beyond
-    /// which nothing is planned: what a larger job needs is seen by the next plans.
+    /// Machines to launch, by kind. A count may exceed `constants::launch_machines_per_plan_max`,
+    /// beyond which nothing is planned: the next plans cover what a larger job needs.
     const std::map<InstanceKind, int>& launches() const { return launches_; }
 
   private:
@@ -44,7 +45,7 @@
     std::size_t first_fit(TaskDemand& demand, Zones& excluded);
     bool launch_for(const TaskDemand& demand, const Zones& excluded);
     std::optional<std::string> pick_zone(const std::string& type, bool spot,
-                                         const std::optional<std::string>& only_zone,
+                                         const std::optional<std::string>& required_zone,
                                          const Zones& excluded = {});
     const MachineType* cheapest_type_for(const JobSpec& spec) const;
     const MachineType* cheapest_type() const;
@@ -56,8 +57,8 @@
     BinPacking packing_;
     std::map<std::string, int> machines_by_zone_;
     std::map<InstanceKind, int> launches_;
-    std::map<std::string, Resources> planned_;  // by team
-    // Demands for which no room was found and nothing more can be launched.
+    std::map<std::string, Resources> planned_by_team_;  // resources of the tasks considered so far
+    // Demand classes that fit no bin, and for which nothing more can be launched.
     std::set<DemandClass> unplaceable_;
 };
 
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -102,7 +102,7 @@
 void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
     ctx_.now = now;
     membership_.on_peer_message(peer, message);
-    autoscaler_.take_launch_notices(message.launches);
+    autoscaler_.handle_launch_notices(message.launches);
     if (message.overload_sample) {
         admission_table_sync_.on_overload_sample(peer, *message.overload_sample);
     }
