--- a/src/core/context/context.hpp
+++ b/src/core/context/context.hpp
@@ -104,7 +104,7 @@
     Now now;                    // time of the input that is being handled
     JobStore jobs;              // the replica of the key-value store's records
     OverloadDetector overload;  // how scarce writes are for this process
-    std::vector<Action> out;    // actions that Controller::take() will return
+    std::vector<Action> out;    // actions that Controller::take_actions() will return
 
     // Whether the replica is what the store held at some revision. It is not while everything is
     // read anew, page by page: a job whose record is still to come looks as if it were none, and
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -2,8 +2,8 @@
 
 namespace cranemoor::core {
 
-Controller::Controller(Settings settings, Tunables tunables, std::string boot)
-    : ctx_(std::move(settings), tunables, std::move(boot)),
+Controller::Controller(Settings settings, Tunables tunables, std::string boot_id)
+    : ctx_(std::move(settings), tunables, std::move(boot_id)),
       membership_(ctx_),
       quota_(ctx_),
       batched_claims_(ctx_),
@@ -19,22 +19,22 @@
       dependencies_(ctx_, membership_),
       request_handler_(ctx_, membership_, agent_manager_.registry(), quota_, dependencies_),
       oversized_block_split_(ctx_) {
-    membership_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& before) {
+    membership_.on_change = [this](bool epoch_changed, const std::optional<Epoch>& previous_epoch) {
         if (epoch_changed) {
-            agent_manager_.epoch_changed(before);
+            agent_manager_.epoch_changed(previous_epoch);
             scheduler_.epoch_changed();
             autoscaler_.epoch_changed();
         }
-        auto touched = ctx_.jobs.take_changed_jobs();
-        dependencies_.records_changed(touched);
-        touched.merge(ctx_.jobs.take_changed_jobs());  // whose priority that changed
-        pending_queue_.records_changed(touched);
+        auto changed_jobs = ctx_.jobs.take_changed_jobs();
+        dependencies_.records_changed(changed_jobs);
+        changed_jobs.merge(ctx_.jobs.take_changed_jobs());  // jobs whose priority this changed
+        pending_queue_.records_changed(changed_jobs);
         if (epoch_changed) {
             pending_queue_.epoch_changed();
         }
-        scheduler_.records_changed(touched);
-        preemption_.records_changed(touched);
-        agent_manager_.records_changed(touched);
+        scheduler_.records_changed(changed_jobs);
+        preemption_.records_changed(changed_jobs);
+        agent_manager_.records_changed(changed_jobs);
     };
 }
 
@@ -48,8 +48,8 @@
     ctx_.now = now;
     membership_.tick();
     if (!ctx_.replica_complete) {
-        // Guards against decisions from half of the records, while they are read anew: blocks of
-        // jobs that are still to come would be removed, machines that still run tasks returned.
+        // Guards against decisions on half of the records while they are read anew: blocks whose
+        // jobs have not been read yet would be deleted, machines that still run tasks released.
         request_handler_.tick();
         return;
     }
@@ -72,8 +72,8 @@
     request_handler_.submit(request, spec);
 }
 
-void Controller::invalid(Now now, std::uint64_t request, const std::optional<std::string>& uid,
-                         const std::string& error) {
+void Controller::submit_malformed(Now now, std::uint64_t request,
+                                  const std::optional<std::string>& uid, const std::string& error) {
     ctx_.now = now;
     request_handler_.submit_malformed(request, uid, error);
 }
@@ -93,18 +93,18 @@
     return membership_.healthy() && !agent_manager_.registry().types().empty();
 }
 
-void Controller::report(Now now, std::uint64_t request, const Heartbeat& report, bool relayed) {
+void Controller::handle_heartbeat(Now now, std::uint64_t request, const Heartbeat& heartbeat,
+                                  bool relayed) {
     ctx_.now = now;
-    agent_manager_.handle_heartbeat(request, report, relayed);
+    agent_manager_.handle_heartbeat(request, heartbeat, relayed);
 }
 
-// A report that is relayed comes by itself, through report().
-void Controller::peer_message(Now now, const std::string& peer, const PeerCall& message) {
+void Controller::peer_message(Now now, const std::string& peer, const PeerCall& call) {
     ctx_.now = now;
-    membership_.on_peer_message(peer, message);
-    autoscaler_.handle_launch_notices(message.launches);
-    if (message.overload_sample) {
-        admission_table_sync_.on_overload_sample(peer, *message.overload_sample);
+    membership_.on_peer_message(peer, call);
+    autoscaler_.handle_launch_notices(call.launches);
+    if (call.overload_sample) {
+        admission_table_sync_.on_overload_sample(peer, *call.overload_sample);
     }
 }
 
@@ -115,14 +115,14 @@
     membership_.on_replica_advanced();
 }
 
-std::vector<Action> Controller::take() {
-    auto out = std::exchange(ctx_.out, {});
-    for (const auto& action : out) {
+std::vector<Action> Controller::take_actions() {
+    auto actions = std::exchange(ctx_.out, {});
+    for (const auto& action : actions) {
         if (const auto* call = std::get_if<StoreCall>(&action)) {
             membership_.on_request_sent(*call);
         }
     }
-    return out;
+    return actions;
 }
 
 void Controller::cloud_reply(Now now, std::uint64_t id, const CloudReply& reply) {
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -87,7 +87,7 @@
         client_server_.reply(request, http_status::bad_request, "");
         return;
     }
-    controller_.report(now, request, *heartbeat, false);
+    controller_.handle_heartbeat(now, request, *heartbeat, false);
     perform_actions();
 }
 
@@ -97,7 +97,7 @@
     if (spec) {
         controller_.submit(now, request, *spec);
     } else {
-        controller_.invalid(now, request, spec.error().uid, spec.error().error.message);
+        controller_.submit_malformed(now, request, spec.error().uid, spec.error().error.message);
     }
     perform_actions();
 }
@@ -143,7 +143,7 @@
     const core::PeerCall& call = decoded->call;
     controller_.peer_message(Loop::now(), decoded->from, call);
     if (call.relayed_heartbeat) {
-        controller_.report(Loop::now(), request, *call.relayed_heartbeat, true);
+        controller_.handle_heartbeat(Loop::now(), request, *call.relayed_heartbeat, true);
     } else {
         peer_server_.reply(request, http_status::ok, "");
     }
@@ -158,7 +158,7 @@
     }
     performing_ = true;
     while (true) {
-        auto actions = controller_.take();
+        auto actions = controller_.take_actions();
         if (actions.empty()) {
             break;
         }
--- a/tests/fake_users.cpp
+++ b/tests/fake_users.cpp
@@ -21,7 +21,7 @@
 std::uint64_t FakeUsers::submit_malformed(int node, const std::string& uid) {
     std::uint64_t request = new_request(uid);
     send_(node, [=, this](Controller& controller) {
-        controller.invalid(simulation_.time(), request, uid, "tasks: missing");
+        controller.submit_malformed(simulation_.time(), request, uid, "tasks: missing");
     });
     return request;
 }
--- a/tests/simulated_cluster_messages.cpp
+++ b/tests/simulated_cluster_messages.cpp
@@ -39,7 +39,7 @@
 void SimulatedCluster::perform_actions(int node) {
     auto& controller = at(node).controller;
     while (controller) {
-        auto actions = controller->take();
+        auto actions = controller->take_actions();
         if (actions.empty()) {
             return;
         }
@@ -267,7 +267,7 @@
             });
         });
     };
-    receiver.report(time(), request, *call.relayed_heartbeat, true);
+    receiver.handle_heartbeat(time(), request, *call.relayed_heartbeat, true);
 }
 
 // --- heartbeats of workers
@@ -316,7 +316,7 @@
                     receive_worker_reply(machine, agent_epoch, sent_at_s, node, reply);
                 });
             };
-            controller.report(time(), request, heartbeat, false);
+            controller.handle_heartbeat(time(), request, heartbeat, false);
         });
     });
 }
@@ -339,7 +339,7 @@
     simulation.schedule_after(simulation.uniform(2, 1.5 * settings.lease_s), [=, this] {
         deliver(node, [=, this](Controller& controller) {
             // Its reply is discarded.
-            controller.report(time(), simulation.new_request_id(), heartbeat, false);
+            controller.handle_heartbeat(time(), simulation.new_request_id(), heartbeat, false);
         });
     });
 }
@@ -349,7 +349,7 @@
         for (int node = 0; node < node_count(); ++node) {
             deliver(node, [=, this](Controller& controller) {
                 // Its reply is discarded.
-                controller.report(time(), simulation.new_request_id(), heartbeat, false);
+                controller.handle_heartbeat(time(), simulation.new_request_id(), heartbeat, false);
             });
         }
     }
@@ -405,7 +405,7 @@
     auto received = std::make_shared<std::optional<WorkerReply>>();
     worker_reply_handlers_[request] = [received](const WorkerReply& reply) { *received = reply; };
     deliver(node, [=, this](Controller& controller) {
-        controller.report(time(), request, heartbeat, false);
+        controller.handle_heartbeat(time(), request, heartbeat, false);
     });
     run_until([&] { return received->has_value(); }, 5);
     return received->value_or(WorkerReply{});
