--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -42,7 +42,7 @@
 // made the wait longer.
 void FailureDetector::fence_overdue_cancels() {
     for (Machine* machine : machines_with_overdue_cancels()) {
-        release_marks_.mark(*machine, "cancelled task not confirmed stopped", true);
+        release_marks_.mark(*machine, "cancelled task still there", true);
     }
 }
 
@@ -206,21 +206,21 @@
     } else if (has_placements && machine.address.empty() &&
                silent_s > constants::first_heartbeat_timeout_s) {
         // Placed by a claim on a machine that is no longer listed: without address, no probe.
-        release_marks_.mark(machine, "unlisted, no heartbeat", true);
+        release_marks_.mark(machine, "unknown", true);
     } else if (machine.heartbeat_received || has_placements) {
         double limit_s = fence_after_s(machine, silent_machines);
         if (silent_s > limit_s && machine.probe_failures > 0) {
-            release_marks_.mark(machine, "no heartbeat, no probe reply", true);
+            release_marks_.mark(machine, "silent", true);
         } else if (silent_s > limit_s - constants::direct_command_timeout_s) {
             probe(machine);
         }
     } else if (machine.running_since >= 0 && !registry_.zone_partitioned(machine.zone) &&
                ctx_.now.steady - std::max(machine.running_since, machine.owned_since) >
                    constants::first_heartbeat_timeout_s) {
-        release_marks_.mark(machine, "no first heartbeat", true);
+        release_marks_.mark(machine, "never reported", true);
     }
     if (machine.interruption_deadline && !has_placements && machine.heartbeat_received) {
-        release_marks_.mark(machine, "spot interruption notice", false);
+        release_marks_.mark(machine, "taken away soon", false);
     }
 }
 
--- a/src/core/agents/task_reconciliation.cpp
+++ b/src/core/agents/task_reconciliation.cpp
@@ -74,7 +74,7 @@
         machine.failed_jobs.insert(job.spec.uid);
     }
     if (machine.failed_jobs.size() >= constants::machine_failed_jobs_max) {
-        release_marks_.mark(machine, "failures of several jobs", false);
+        release_marks_.mark(machine, "failing tasks", false);
     }
     machine.claim_backoff_until = ctx_.now.steady + constants::job_backoff_s;
 }
