--- a/src/core/agents/agent_manager.hpp
+++ b/src/core/agents/agent_manager.hpp
@@ -27,8 +27,8 @@
 namespace cranemoor::core {
 
 /// The worker machines as this controller handles them. Pure core: all input and output goes
-/// through the Context (ctx.out, ctx.order, ctx.txn, ctx.peer). Users of one concern take the
-/// module for it, not the manager.
+/// through the Context (ctx.actions, ctx.call_worker, ctx.send_txn, ctx.call_peer). Users of one
+/// concern take the module for it, not the manager.
 class AgentManager {
   public:
     /// All arguments must outlive this object.
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -228,7 +228,7 @@
     WorkerCommandCall call;
     call.machine = machine.name;
     call.address = machine.address;
-    ctx_.worker_command(call, [this, name = machine.name](const WorkerCommandReply& reply) {
+    ctx_.call_worker(call, [this, name = machine.name](const WorkerCommandReply& reply) {
         Machine* machine = registry_.find(name);
         if (machine == nullptr) {
             return;
--- a/src/core/agents/gang_preemption.cpp
+++ b/src/core/agents/gang_preemption.cpp
@@ -23,7 +23,7 @@
 
 void GangPreemption::request_preemption(const Job& job, const std::string& why) {
     auto key = job.block_key(0);
-    if (!ctx_.is_member || job.gang_stop_requested() || ctx_.blocks_in_flight.contains(key)) {
+    if (!ctx_.is_member || job.gang_stop_requested() || ctx_.block_writes_in_flight.contains(key)) {
         return;
     }
     Block next = job.block(0);
@@ -32,10 +32,10 @@
     txn.conditions = JobStore::live_conditions(job);
     txn.conditions.push_back(ctx_.epoch_condition());
     job.add_block_write(0, next, txn);
-    ctx_.blocks_in_flight.insert(key);
+    ctx_.block_writes_in_flight.insert(key);
     ctx_.info("gang {}: attempt {} to be stopped and saved ({})", job.spec.uid, next.attempt, why);
-    ctx_.txn(std::move(txn), [this, key](const StoreReply& reply) {
-        ctx_.when_settled(reply, [this, key] { ctx_.blocks_in_flight.erase(key); });
+    ctx_.send_txn(std::move(txn), [this, key](const StoreReply& reply) {
+        ctx_.when_settled(reply, [this, key] { ctx_.block_writes_in_flight.erase(key); });
     });
 }
 
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -74,7 +74,7 @@
     reply.request = request;
     reply.status = status;
     reply.owner = home;
-    ctx_.out.emplace_back(reply);
+    ctx_.actions.emplace_back(reply);
 }
 
 // A delayed heartbeat: its list of tasks is as old as itself.
@@ -83,7 +83,7 @@
     reply.request = request;
     reply.status = status_ok;
     reply.token = ctx_.fencing_token;
-    ctx_.out.emplace_back(reply);
+    ctx_.actions.emplace_back(reply);
 }
 
 void HeartbeatHandler::redirect(std::uint64_t request, const Heartbeat& report, const Member* owner,
@@ -118,14 +118,14 @@
     call.peer = owner.name;
     call.has_store_contact = membership_.has_store_contact();
     call.relayed_heartbeat = report;
-    ctx_.peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
+    ctx_.call_peer(call, [this, request](bool answered, const std::optional<WorkerReply>& reply) {
         if (!answered || !reply) {
             reject(request, status_misdirected);
             return;
         }
         WorkerReply relayed_reply = *reply;
         relayed_reply.request = request;
-        ctx_.out.emplace_back(relayed_reply);
+        ctx_.actions.emplace_back(relayed_reply);
     });
 }
 
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -24,7 +24,7 @@
     machine.open_request.reset();
     if (!membership_.may_answer_workers() || !machine.owned_by_us) {
         reply.status = machine.owned_by_us ? 503 : 421;
-        ctx_.out.emplace_back(reply);
+        ctx_.actions.emplace_back(reply);
         return;
     }
     reply.status = 200;
@@ -33,7 +33,7 @@
         std::set<TaskId> live = add_stops_and_forgets(machine, reply);
         add_starts(machine, live, reply);
     }
-    ctx_.out.emplace_back(std::move(reply));
+    ctx_.actions.emplace_back(std::move(reply));
 }
 
 std::set<TaskId> HeartbeatReplies::add_stops_and_forgets(Machine& machine,
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -69,15 +69,15 @@
     call.token = ctx_.fencing_token;
     call.agent_epoch = std::max<std::uint64_t>(machine.agent_epoch, 1);
     Token token = ctx_.fencing_token;
-    ctx_.worker_command(
-        call, [this, name = machine.name, token, attempts](const WorkerCommandReply& reply) {
-            Machine* machine = registry_.find(name);
-            if (machine == nullptr || !reply.heartbeat || !machine->owned_by_us ||
-                token != ctx_.fencing_token || machine->adopted) {
-                return;
-            }
-            on_token_reply(*machine, *reply.heartbeat, attempts);
-        });
+    ctx_.call_worker(call,
+                     [this, name = machine.name, token, attempts](const WorkerCommandReply& reply) {
+                         Machine* machine = registry_.find(name);
+                         if (machine == nullptr || !reply.heartbeat || !machine->owned_by_us ||
+                             token != ctx_.fencing_token || machine->adopted) {
+                             return;
+                         }
+                         on_token_reply(*machine, *reply.heartbeat, attempts);
+                     });
 }
 
 void MachineAdoption::on_token_reply(Machine& machine, const Heartbeat& report, int attempts) {
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -241,7 +241,7 @@
     txn.urgency = deferrable ? Urgency::low : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, taken, written](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this, taken, written](const StoreReply& reply) {
         blocks_in_flight_ -= written.size();
         on_write_settled(reply, taken, written);
     });
@@ -254,7 +254,7 @@
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(reply, [this, taken, blocks] {
         for (const auto& key : taken) {
-            ctx_.blocks_in_flight.erase(key);
+            ctx_.block_writes_in_flight.erase(key);
         }
         for (const BlockRef& ref : blocks) {
             if (auto it = pending_.find(ref); it != pending_.end()) {
@@ -298,7 +298,7 @@
         }
         std::size_t more = bytes_of(entry);
         if (must_wait || bytes + more > batched_claims_.entry_bytes_per_write() ||
-            ctx_.blocks_in_flight.contains(key)) {
+            ctx_.block_writes_in_flight.contains(key)) {
             pending.needs_review = true;
             continue;
         }
@@ -310,7 +310,7 @@
     if (entries.empty()) {
         return;
     }
-    ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
+    ctx_.block_writes_in_flight.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
     next_batched_write_s_ = ctx_.now.steady + constants::batched_exit_write_interval_s;
     batched_claims_.write(std::move(entries), {}, [this, taken, written](const StoreReply& reply) {
@@ -325,7 +325,7 @@
     const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(block);
-    if (ctx_.blocks_in_flight.contains(key)) {
+    if (ctx_.block_writes_in_flight.contains(key)) {
         return false;
     }
     const Block& old = job.block(block);
@@ -334,13 +334,14 @@
     int done = job.done() + next.done_count() - old.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
     // Else complete_finished_jobs does it once the blocks are written.
-    completes = completes && 1 + job.other_block_records().size() <= ctx_.ops_max();
+    completes = completes && 1 + job.other_block_records().size() <= ctx_.txn_ops_max();
     for (const auto& [other, record] : job.blocks) {
-        completes = completes && !ctx_.blocks_in_flight.contains(job.block_key(other));
+        completes = completes && !ctx_.block_writes_in_flight.contains(job.block_key(other));
     }
-    if (!completes && bytes_of(next) > ctx_.value_max()) {
+    if (!completes && bytes_of(next) > ctx_.value_bytes_max()) {
         // Written by the version before, under a larger limit.
-        bool fits_old_limit = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
+        bool fits_old_limit =
+            !ctx_.all_controllers_support() && bytes_of(next) <= ctx_.current_value_bytes_max();
         if (!fits_old_limit) {
             ctx_.jobs_to_split.insert(uid);
             return false;
@@ -354,12 +355,12 @@
         job.add_block_write(block, next, more);
     }
     // One more condition is the epoch's.
-    if (txn.writes.size() + more.writes.size() > ctx_.ops_max() ||
-        txn.conditions.size() + more.conditions.size() + 1 > ctx_.conditions_max()) {
+    if (txn.writes.size() + more.writes.size() > ctx_.txn_ops_max() ||
+        txn.conditions.size() + more.conditions.size() + 1 > ctx_.txn_conditions_max()) {
         return false;
     }
     append(txn, std::move(more));
-    ctx_.blocks_in_flight.insert(changed.begin(), changed.end());
+    ctx_.block_writes_in_flight.insert(changed.begin(), changed.end());
     taken.insert(taken.end(), changed.begin(), changed.end());
     return true;
 }
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -28,17 +28,18 @@
             marks.machines.clear();
             // Each name stands there twice once its machine is gone.
             std::size_t bytes = constants::cordon_batch_overhead_bytes + reason.why.size();
-            while (next != names.end() && marks.machines.size() < constants::release_machines_max &&
-                   (marks.machines.empty() || bytes + cordon_bytes(*next) <= ctx_.value_max())) {
+            while (
+                next != names.end() && marks.machines.size() < constants::release_machines_max &&
+                (marks.machines.empty() || bytes + cordon_bytes(*next) <= ctx_.value_bytes_max())) {
                 bytes += cordon_bytes(*next);
                 marks.machines.insert(*next);
                 batch.machines.insert(*next);
                 ++next;
             }
-            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
+            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.cordon_batches_written);
             batch.txn.conditions.push_back({key, 0});
             batch.txn.writes.push_back({key, encode(marks)});
-            if (batch.txn.writes.size() >= ctx_.ops_max()) {
+            if (batch.txn.writes.size() >= ctx_.txn_ops_max()) {
                 send(batch);
             }
         }
@@ -60,7 +61,7 @@
             }
         });
     };
-    ctx_.txn(std::exchange(batch.txn, {}), on_reply);
+    ctx_.send_txn(std::exchange(batch.txn, {}), on_reply);
 }
 
 }  // namespace cranemoor::core
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -12,7 +12,7 @@
     call.token = ctx_.fencing_token;
     call.agent_epoch = machine.agent_epoch;
     call.commands.push_back({Command::Kind::stop, attempt.task, attempt.number, stop.grace_s});
-    ctx_.worker_command(call, [](const WorkerCommandReply&) {
+    ctx_.call_worker(call, [](const WorkerCommandReply&) {
         // The worker reports the change by itself within half a second.
     });
 }
--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -19,7 +19,7 @@
     types_in_flight_ = true;
     CloudCall call;
     call.kind = CloudCall::Kind::types;
-    ctx_.cloud(call, [this](const CloudReply& reply) {
+    ctx_.call_cloud(call, [this](const CloudReply& reply) {
         types_in_flight_ = false;
         if (reply.status == CloudReply::Status::ok) {
             agent_manager_.registry().set_machine_types(reply.types);
@@ -59,7 +59,7 @@
     CloudCall call;
     call.kind = CloudCall::Kind::list;
     call.after = after;
-    ctx_.cloud(call, [this](const CloudReply& reply) {
+    ctx_.call_cloud(call, [this](const CloudReply& reply) {
         listing_in_flight_ = false;
         if (reply.status != CloudReply::Status::ok) {
             return;
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -94,7 +94,7 @@
         call.peer = peer.name;
         call.has_store_contact = membership_.has_store_contact();
         call.launches = notices;
-        ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
+        ctx_.call_peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
 }
 
@@ -134,7 +134,7 @@
     call.count = launch.count;
     ctx_.info("rent {}: {} of {} in {}{}", call.request, call.count, call.type, call.zone,
               call.spot ? ", spot" : "");
-    ctx_.cloud(call, [this, request = launch.request](const CloudReply& reply) {
+    ctx_.call_cloud(call, [this, request = launch.request](const CloudReply& reply) {
         handle_reply(request, reply);
     });
 }
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -17,7 +17,7 @@
     call.kind = CloudCall::Kind::release;
     call.machines = machines;
     std::set<std::string> names(machines.begin(), machines.end());
-    ctx_.cloud(call, [names, done](const CloudReply& reply) {
+    ctx_.call_cloud(call, [names, done](const CloudReply& reply) {
         done(reply.status == CloudReply::Status::ok, names);
     });
 }
@@ -103,10 +103,11 @@
                 marks.released.insert(name);
             }
         }
-        if (marks.released.size() == old.released.size() || txn.writes.size() >= ctx_.ops_max()) {
+        if (marks.released.size() == old.released.size() ||
+            txn.writes.size() >= ctx_.txn_ops_max()) {
             continue;
         }
-        if (bytes <= ctx_.value_max()) {
+        if (bytes <= ctx_.value_bytes_max()) {
             txn.conditions.push_back({key, old.revision});
             txn.writes.push_back({key, encode(marks)});
         } else {
@@ -118,7 +119,7 @@
         return;
     }
     // Unless it is written, the machines are released again, which does no harm.
-    ctx_.txn(txn, [this](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this](const StoreReply& reply) {
         if (reply.status != StoreReply::Status::ok) {
             next_release_at_ = ctx_.now.steady + constants::store_retry_delay_s;
         }
@@ -135,9 +136,9 @@
     separate.fence = old.fence;
     std::size_t bytes = 0;
     auto write_and_reset = [&] {
-        if (!separate.machines.empty() && txn.writes.size() < ctx_.ops_max()) {
+        if (!separate.machines.empty() && txn.writes.size() < ctx_.txn_ops_max()) {
             separate.released = separate.machines;
-            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
+            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.cordon_batches_written);
             txn.conditions.push_back({key, 0});
             txn.writes.push_back({key, encode(separate)});
         }
@@ -150,7 +151,7 @@
         if (!old.machines.contains(name) || (mark != nullptr && mark->released)) {
             continue;
         }
-        if (bytes + cordon_bytes(name) > ctx_.value_max()) {
+        if (bytes + cordon_bytes(name) > ctx_.value_bytes_max()) {
             write_and_reset();
         }
         bytes += cordon_bytes(name);
@@ -175,7 +176,7 @@
             continue;
         }
         double gone_since = gone_since_.try_emplace(key, ctx_.now.steady).first->second;
-        if (may_delete(marks, gone_since) && txn.writes.size() < ctx_.ops_max()) {
+        if (may_delete(marks, gone_since) && txn.writes.size() < ctx_.txn_ops_max()) {
             txn.conditions.push_back({key, marks.revision});
             txn.writes.push_back({key, std::nullopt});
         }
@@ -184,7 +185,7 @@
         return;
     }
     deletion_in_flight_ = true;
-    ctx_.txn(txn, [this](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { deletion_in_flight_ = false; });
     });
 }
--- a/src/core/context/pending_calls.hpp
+++ b/src/core/context/pending_calls.hpp
@@ -1,4 +1,4 @@
-// PendingCalls: the completions of calls in flight, matched to the replies by the calls' ids.
+/// PendingCalls: the completions of calls in flight, matched to their replies by call id.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,15 @@
 
 namespace cranemoor::core {
 
-/// The calls in flight of one kind. `Reply`: what a completion is called with.
+/// The calls in flight of one kind. `Reply`: the argument types of their completions.
 template <typename... Reply>
 class PendingCalls {
   public:
     using Completion = std::function<void(const Reply&...)>;
 
-    /// Records a call that goes out with this id.
+    /// Records the completion of the call with this id.
     void add(std::uint64_t id, Completion completion) { completions_[id] = std::move(completion); }
-    /// Runs and forgets the completion of that call; does nothing for an unknown id.
+    /// Removes the completion of that call and runs it; does nothing for an unknown id.
     void complete(std::uint64_t id, const Reply&... reply) {
         auto entry = completions_.find(id);
         if (entry == completions_.end()) {
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -116,7 +116,7 @@
 }
 
 std::vector<Action> Controller::take() {
-    auto out = std::exchange(ctx_.out, {});
+    auto out = std::exchange(ctx_.actions, {});
     for (const auto& action : out) {
         if (const auto* call = std::get_if<StoreCall>(&action)) {
             membership_.on_request_sent(*call);
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -66,7 +66,7 @@
 }
 
 std::size_t BatchedClaims::max_record_bytes() const {
-    return std::min(ctx_.value_max(), constants::claim_batch_bytes_max);
+    return std::min(ctx_.value_bytes_max(), constants::claim_batch_bytes_max);
 }
 
 std::size_t BatchedClaims::entry_bytes_per_write() const {
@@ -179,7 +179,7 @@
             txn.conditions = {ctx_.epoch_condition(), {key, doubt.revision}};
             txn.writes = {{key, encode(sheet)}};
             writes_in_flight_.insert(key);
-            ctx_.txn(std::move(txn), [this, key = key](const StoreReply& r) {
+            ctx_.send_txn(std::move(txn), [this, key = key](const StoreReply& r) {
                 ctx_.when_settled(r, [this, key] { writes_in_flight_.erase(key); });
             });
         }
@@ -203,18 +203,18 @@
     txn.purpose = Txn::Purpose::claim_batch;
     writes_in_flight_.insert(where.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
-    ctx_.txn(std::move(txn),
-             [this, where, epoch, on_reply = std::move(on_reply)](const StoreReply& r) {
-                 ctx_.when_settled(r, [this, key = where.key] { writes_in_flight_.erase(key); });
-                 if (r.status == StoreReply::Status::unknown) {
-                     UnknownOutcome& doubt = unknown_outcomes_[where.key];
-                     doubt.revision = where.revision;
-                     doubt.epoch = epoch;
-                     doubt.waiters.emplace_back([on_reply, r] { on_reply(r); });
-                 } else {
-                     on_reply(r);
-                 }
-             });
+    ctx_.send_txn(
+        std::move(txn), [this, where, epoch, on_reply = std::move(on_reply)](const StoreReply& r) {
+            ctx_.when_settled(r, [this, key = where.key] { writes_in_flight_.erase(key); });
+            if (r.status == StoreReply::Status::unknown) {
+                UnknownOutcome& doubt = unknown_outcomes_[where.key];
+                doubt.revision = where.revision;
+                doubt.epoch = epoch;
+                doubt.waiters.emplace_back([on_reply, r] { on_reply(r); });
+            } else {
+                on_reply(r);
+            }
+        });
 }
 
 // Whether a record of sheets has nothing that anybody needs, and nobody will write it again.
@@ -251,7 +251,7 @@
         return;
     }
     retire_in_flight_ = true;
-    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { retire_in_flight_ = false; });
     });
 }
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -179,7 +179,7 @@
         StoreCall call;
         call.kind = StoreCall::Kind::get;
         call.key = keys::final_state(other);
-        ctx_.state(call, [this, other, uid](const StoreReply& r) {
+        ctx_.call_store(call, [this, other, uid](const StoreReply& r) {
             reading_.erase(other);
             if (r.status == StoreReply::Status::ok) {
                 moved_[other] = decode_finished(r.value).cancelled ? End::cancelled : End::done;
@@ -208,7 +208,7 @@
     txn.writes = {{keys::job(uid), encode(record)}};
     writing_.insert(uid);
     ctx_.info("job {}: all that it follows is done", uid);
-    ctx_.txn(std::move(txn), [this, uid](const StoreReply& r) {
+    ctx_.send_txn(std::move(txn), [this, uid](const StoreReply& r) {
         ctx_.when_settled(r, [this, uid] { writing_.erase(uid); });
     });
 }
@@ -245,14 +245,14 @@
             return;
         }
         txn.conditions.push_back(ctx_.epoch_condition());
-        ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
-                 [this, names](const StoreReply& r) {
-                     ctx_.when_settled(r, [this, names] {
-                         for (const auto& uid : names) {
-                             writing_.erase(uid);
-                         }
-                     });
-                 });
+        ctx_.send_txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
+                      [this, names](const StoreReply& r) {
+                          ctx_.when_settled(r, [this, names] {
+                              for (const auto& uid : names) {
+                                  writing_.erase(uid);
+                              }
+                          });
+                      });
         names.clear();
     };
     for (const auto& uid : uids) {
@@ -264,8 +264,8 @@
         names.push_back(uid);
         add_final_state_writes(ctx_, *job, true, txn);
         // The next one brings a write and three conditions, and the epoch's comes at last.
-        if (txn.writes.size() >= ctx_.ops_max() ||
-            txn.conditions.size() + 4 > ctx_.conditions_max()) {
+        if (txn.writes.size() >= ctx_.txn_ops_max() ||
+            txn.conditions.size() + 4 > ctx_.txn_conditions_max()) {
             send();
         }
     }
@@ -290,7 +290,7 @@
         }
         // The last one goes first: an acceptance that comes late is conditional on it.
         auto part = parts.end();
-        while (part != parts.begin() && txn.writes.size() < ctx_.ops_max()) {
+        while (part != parts.begin() && txn.writes.size() < ctx_.txn_ops_max()) {
             --part;
             auto key = keys::dependencies(uid, part->first);
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
@@ -298,7 +298,7 @@
         }
     }
     if (!txn.writes.empty()) {
-        ctx_.txn(std::move(txn), [](const StoreReply&) {});
+        ctx_.send_txn(std::move(txn), [](const StoreReply&) {});
     }
 }
 
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -22,7 +22,7 @@
     txn.conditions.push_back({changed.front(), first.revision});
     txn.writes.push_back({changed.front(), encode(last)});
     for (const auto& [key, revision] : job.other_block_records()) {
-        if (txn.writes.size() < ctx.ops_max()) {
+        if (txn.writes.size() < ctx.txn_ops_max()) {
             changed.push_back(key);
             txn.conditions.push_back({key, revision});
             txn.writes.push_back({key, std::nullopt});
@@ -40,7 +40,7 @@
         }
         const Job& job = ctx_.jobs.jobs().at(uid);
         bool busy = std::any_of(job.blocks.begin(), job.blocks.end(), [&](const auto& b) {
-            return ctx_.blocks_in_flight.count(job.block_key(b.first)) != 0;
+            return ctx_.block_writes_in_flight.count(job.block_key(b.first)) != 0;
         });
         if (busy) {
             continue;
@@ -58,14 +58,14 @@
                 left.push_back({keys::block(uid, 0), job.first_block_record().revision});
             }
             for (const auto& [key, at] : left) {
-                if (txn.writes.size() < ctx_.ops_max()) {
+                if (txn.writes.size() < ctx_.txn_ops_max()) {
                     txn.conditions.push_back({key, at});
                     txn.writes.push_back({key, std::nullopt});
                 }
             }
         }
         completions_in_flight_.insert(uid);
-        ctx_.txn(txn, [this, uid = uid](const StoreReply& r) {
+        ctx_.send_txn(txn, [this, uid = uid](const StoreReply& r) {
             ctx_.when_settled(r, [this, uid] { completions_in_flight_.erase(uid); });
         });
     }
@@ -82,7 +82,7 @@
         if (!listing.contains(uid)) {
             continue;
         }
-        if (ctx_.jobs.listing_bytes(key) > ctx_.value_max()) {
+        if (ctx_.jobs.listing_bytes(key) > ctx_.value_bytes_max()) {
             batch.outgrown.insert(key);
             return;
         }
@@ -90,7 +90,7 @@
     }
     // Its block's deletion, its archived final state and, if it has one, its own record's deletion.
     std::size_t writes = job.own_record ? 3 : 2;
-    if (batch.writes + writes + listings.size() > ctx_.ops_max()) {
+    if (batch.writes + writes + listings.size() > ctx_.txn_ops_max()) {
         return;
     }
     batch.writes += writes;
@@ -162,7 +162,7 @@
     }
     add_archive_writes(batch, txn);
     archive_in_flight_ = true;
-    ctx_.txn(txn, [this](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { archive_in_flight_ = false; });
     });
 }
@@ -175,7 +175,7 @@
         bool over = std::all_of(listing.begin(), listing.end(), [&](const auto& uid) {
             return ctx_.jobs.final_state(uid) != nullptr;
         });
-        if (over && txn.writes.size() < ctx_.ops_max()) {
+        if (over && txn.writes.size() < ctx_.txn_ops_max()) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -15,7 +15,7 @@
 
 /// Adds to `txn` the final state of `job` (cancelled or not) in place of its first block record,
 /// and the deletion of its other block records as far as the transaction's operation limit
-/// (`Context::ops_max`) allows, each guarded by a compare-and-swap condition on its revision.
+/// (`Context::txn_ops_max`) allows, each guarded by a compare-and-swap condition on its revision.
 /// Returns the keys written, the first block's key first.
 std::vector<std::string> add_final_state_writes(const Context& ctx, const Job& job, bool cancelled,
                                                 Txn& txn);
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -11,7 +11,7 @@
     if (!ctx_.is_member || ctx_.jobs_to_split.empty()) {
         return;
     }
-    if (!ctx_.upgraded()) {
+    if (!ctx_.all_controllers_support()) {
         ctx_.jobs_to_split.clear();  // whoever needs it asks again
         return;
     }
@@ -29,7 +29,7 @@
 void OversizedBlockSplit::split(const Job& job) {
     JobRecord record = job.record();
     record.page_size = tasks_per_block(ctx_);
-    std::size_t room = ctx_.value_max() - constants::block_overhead_bytes;
+    std::size_t room = ctx_.value_bytes_max() - constants::block_overhead_bytes;
     for (const auto& [k, b] : job.blocks) {
         // Names may be longer than a block's size reckons with.
         std::size_t tasks = std::max<std::size_t>(1, b.placed.size() + b.done.size());
@@ -48,7 +48,7 @@
     ctx_.info("job {}: its blocks are too large, parted into pages of {} tasks", job.spec.uid,
               record.page_size);
     splits_in_flight_.insert(job.spec.uid);
-    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& r) {
+    ctx_.send_txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& r) {
         ctx_.when_settled(r, [this, uid] { splits_in_flight_.erase(uid); });
     });
 }
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -24,7 +24,7 @@
     if (ctx_.is_member && !is_member) {
         ctx_.info("epoch {}: this process is no longer a member", ctx_.fencing_token);
         ctx_.is_member = false;
-        // The lease may live on; a new one tells the two memberships apart.
+        // The old lease may still be valid; a new one distinguishes the next membership from this.
         lease_.replace();
     }
     ctx_.is_member = is_member;
@@ -40,7 +40,7 @@
     ctx_.info("epoch {}: members {}", epoch.number, names);
 }
 
-// Whether the record that is attached to this member's lease is still there.
+// Whether the member record, which is attached to the member's lease, still exists.
 bool LeaderElection::has_live_record(const Member& member) const {
     const auto& records = ctx_.jobs.member_records();
     auto record = records.find(keys::member(member.name));
@@ -57,11 +57,11 @@
     if (join_in_flight_ || lease_.id() == 0 || !ctx_.jobs.loaded() || has_joined()) {
         return;
     }
-    write_joined_epoch(epoch_with_us());
+    write_joined_epoch(next_epoch_with_self());
 }
 
-// The next epoch: the live members of the current one, and this process as the youngest.
-Epoch LeaderElection::epoch_with_us() const {
+// The next epoch: the live members of the current one, and this process as the newest member.
+Epoch LeaderElection::next_epoch_with_self() const {
     const auto& epoch = ctx_.jobs.epoch();
     Epoch next;
     next.number = (epoch ? epoch->number : 0) + 1;
@@ -88,26 +88,26 @@
         txn.writes.push_back(
             {keys::feature_level(self.name), encode_level(self.name, current_feature_level)});
     }
-    ctx_.txn(std::move(txn), [this](const StoreReply& reply) { on_join_reply(reply); });
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& reply) { on_join_reply(reply); });
 }
 
 void LeaderElection::on_join_reply(const StoreReply& reply) {
     switch (reply.status) {
         case StoreReply::Status::ok:
         case StoreReply::Status::conflict:
-            ctx_.when_at(reply.revision, [this] {
+            ctx_.when_replica_reaches(reply.revision, [this] {
                 join_in_flight_ = false;
                 join();
             });
             break;
         case StoreReply::Status::bad_request:
-            // The lease expired meanwhile.
+            // The lease has expired meanwhile.
             join_in_flight_ = false;
             lease_.replace();
             break;
         default:
-            // It may yet be executed: then the epoch's revision moves on and the next attempt,
-            // conditional on the old one, fails harmlessly.
+            // The transaction may still be executed. Then the epoch's revision changes, and the
+            // next attempt, conditional on the old revision, fails without effect.
             join_in_flight_ = false;
             store_contact_.delay_retries();
     }
@@ -126,7 +126,7 @@
         }
     }
     if (survivors.members.size() == epoch->members.size() || !survivors.has(ctx_.self.id)) {
-        dead_since_s_ = -1;
+        dead_members_noticed_s_ = -1;
         return;
     }
     if (is_our_turn_to_remove(survivors)) {
@@ -134,16 +134,17 @@
     }
 }
 
-// The oldest live member acts at once, the others only if it doesn't.
+// The oldest live member removes dead members at once; the others do so only if it doesn't, each
+// after a delay by its rank.
 bool LeaderElection::is_our_turn_to_remove(const Epoch& survivors) {
-    if (dead_since_s_ < 0) {
-        dead_since_s_ = ctx_.now.steady;
+    if (dead_members_noticed_s_ < 0) {
+        dead_members_noticed_s_ = ctx_.now.steady;
     }
     int rank = 0;
     while (survivors.members[static_cast<std::size_t>(rank)].id != ctx_.self.id) {
         ++rank;
     }
-    return ctx_.now.steady >= dead_since_s_ + rank * constants::member_removal_stagger_s;
+    return ctx_.now.steady >= dead_members_noticed_s_ + rank * constants::member_removal_stagger_s;
 }
 
 void LeaderElection::write_epoch_of_survivors(const Epoch& survivors) {
@@ -152,7 +153,7 @@
     txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition()};
     txn.writes = {{keys::epoch, encode(survivors)}};
-    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { removal_in_flight_ = false; });
     });
 }
@@ -162,8 +163,8 @@
     if (!epoch) {
         return nullptr;
     }
-    // Members in the machine's own zone go first: a partition between zones then separates no
-    // worker from its controller.
+    // Rendezvous hashing. Members in the machine's own zone take precedence, so that a partition
+    // between zones separates no worker from its controller.
     const Member* best = nullptr;
     std::tuple<bool, std::uint64_t, std::uint64_t> best_rank;
     for (const auto& member : epoch->members) {
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -12,8 +12,8 @@
       replica_(ctx, store_contact_),
       peers_(ctx, store_contact_, replica_) {
     lease_.on_granted = [this] { election_.join(); };
-    // Guards against seconds outside the epoch: the open watch may be one that the key-value store
-    // stopped serving when it refused this process.
+    // The key-value store may have stopped serving the open watch when it refused this process.
+    // Waiting for that watch to time out would leave this process outside the epoch for seconds.
     lease_.on_expired = [this] { replica_.reopen_watch(); };
     replica_.on_replica_changed = [this] { on_replica_changed(); };
 }
@@ -34,18 +34,18 @@
     lease_.keep_alive();
     store_contact_.refresh_safe_time();
     peers_.tick();
-    take_in_noted_cancellations();
+    apply_noted_cancellations();
 }
 
 void Membership::on_replica_changed() {
     std::optional<Epoch> before = election_.observed_epoch();
     bool epoch_changed = election_.observe_epoch();
     ctx_.replica_complete = true;
-    has_noted_cancellation_ = false;
+    has_unapplied_cancellation_ = false;
     if (on_change) {
         on_change(epoch_changed, before);
     }
-    ctx_.run_waiting();
+    ctx_.run_due_callbacks();
     election_.remove_dead_members();
     election_.join();
 }
@@ -63,32 +63,35 @@
         note_cancelled(cancellation.uid, cancellation.cancelled_wall);
     }
     peers_.on_heartbeat(peer, message.lease->heartbeat);
-    take_in_noted_cancellations();
+    apply_noted_cancellations();
 }
 
-void Membership::note_cancelled(const std::string& uid, double wall) {
-    has_noted_cancellation_ = ctx_.jobs.note_cancelled(uid, wall) || has_noted_cancellation_;
+void Membership::note_cancelled(const std::string& uid, double cancelled_wall) {
+    has_unapplied_cancellation_ =
+        ctx_.jobs.note_cancelled(uid, cancelled_wall) || has_unapplied_cancellation_;
 }
 
-void Membership::take_in_noted_cancellations() {
-    if (has_noted_cancellation_ && ctx_.replica_complete && on_change) {
-        has_noted_cancellation_ = false;
+void Membership::apply_noted_cancellations() {
+    if (has_unapplied_cancellation_ && ctx_.replica_complete && on_change) {
+        has_unapplied_cancellation_ = false;
         on_change(false, election_.observed_epoch());
     }
 }
 
-// An answer renews the worker's lease for lease_s from its heartbeat on, so a cancelled task may
-// live that long although it is unknown here. Hence the rule: every cancellation that users were
-// told of more than cancel_deadline_s - lease_s ago, less a margin, is known here. As of the safe
-// time the replica has all; beyond that the peers' read leases say until when nobody told anything
-// else. Guards against the gap: refused alone, while another controller confirms cancellations, and
-// then an outage for all, longer than cancel_deadline_s, in which "nobody has contact" says nothing
-// of before.
+// A reply renews the worker's lease for lease_s from its heartbeat on, so a task whose cancellation
+// is unknown here may run for that long. Hence the rule: every cancellation that was confirmed to
+// users more than cancel_deadline_s - lease_s ago, less a margin, is known here. The replica holds
+// all cancellations as of the safe time; after it, the peers' read leases state until when no
+// controller confirmed any other. This covers the following case: the key-value store refuses this
+// controller alone while another one confirms cancellations, and then an outage of all controllers
+// lasts longer than cancel_deadline_s. That no controller has contact during the outage proves
+// nothing about the time before it.
 bool Membership::may_answer_workers() const {
     if (!ctx_.is_member || !ctx_.replica_complete) {
         return false;
     }
-    // Refused alone: the sooner its workers move, the sooner their work goes on.
+    // The key-value store refuses this process alone: the sooner its workers fail over to another
+    // controller, the sooner their work continues.
     double member_lease_s = constants::member_lease_ms / 1000.0;
     if (store_contact_.seconds_without_store() > member_lease_s && peers_have_store_contact()) {
         return false;
@@ -98,7 +101,7 @@
     return cancellations_unknown_for_s() < std::max(limit_s, constants::store_contact_timeout_s);
 }
 
-// Seconds for which cancellations that users were told of may be unknown here.
+// Seconds up to now for which cancellations that were confirmed to users may be unknown here.
 double Membership::cancellations_unknown_for_s() const {
     return ctx_.now.steady - peers_.cancellations_known_until_s();
 }
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -9,44 +9,47 @@
     for (const auto& peer : ctx_.settings.peers) {
         names.push_back(peer.name);
     }
-    leases_.emplace(names, ctx_.boot_id, ctx_.now.steady,
-                    read_leases::Times{constants::read_lease_s, constants::read_lease_margin_s,
-                                       constants::peer_heartbeat_ttl_s});
+    read_leases_.emplace(names, ctx_.boot_id, ctx_.now.steady,
+                         read_leases::Times{constants::read_lease_s, constants::read_lease_margin_s,
+                                            constants::peer_heartbeat_ttl_s});
 }
 
 void PeerContact::tick() {
-    send_when_changed();
+    schedule_heartbeat_if_changed();
     if (ctx_.now.steady >= next_heartbeat_s_) {
         send_heartbeats();
     }
 }
 
 void PeerContact::on_message(const std::string& peer, bool has_store_contact) {
-    peers_[peer] = {ctx_.now.steady, has_store_contact};
-    send_when_changed();
+    peer_status_[peer] = {ctx_.now.steady, has_store_contact};
+    schedule_heartbeat_if_changed();
 }
 
 void PeerContact::on_heartbeat_without_leases(const std::string& peer) {
-    leases_->hear_older(peer);
+    read_leases_->hear_older(peer);
 }
 
 void PeerContact::on_heartbeat(const std::string& peer, const read_leases::Heartbeat& heartbeat) {
-    if (leases_->hear(peer, heartbeat, ctx_.now.steady, store_contact_.safe_time_s())) {
-        // Just started, it may not confirm cancellations until it has heard from us.
+    if (read_leases_->hear(peer, heartbeat, ctx_.now.steady, store_contact_.safe_time_s())) {
+        // A process that has just started may not confirm cancellations until it has received a
+        // heartbeat from this one.
         next_heartbeat_s_ = ctx_.now.steady;
     }
 }
 
-// Read leases are what this process relies on while nobody has contact, as far as it knows.
+// This process relies on read leases while no controller has store contact, as far as it knows.
 bool PeerContact::relies_on_read_leases() const {
     return !store_contact_.has_contact() && !any_has_store_contact();
 }
 
-// Peers learn of a change at once: some may wait for it to confirm cancellations.
-void PeerContact::send_when_changed() {
-    bool relies = relies_on_read_leases();
-    leases_->rely(relies);
-    if (store_contact_.has_contact() != sent_store_contact_ || relies != sent_reliance_) {
+// Peers are notified of a change at once: some may be waiting for it before they confirm
+// cancellations.
+void PeerContact::schedule_heartbeat_if_changed() {
+    bool relies_on_leases = relies_on_read_leases();
+    read_leases_->rely(relies_on_leases);
+    if (store_contact_.has_contact() != sent_store_contact_ ||
+        relies_on_leases != sent_relies_on_read_leases_) {
         next_heartbeat_s_ = ctx_.now.steady;
     }
 }
@@ -55,52 +58,52 @@
     double now = ctx_.now.steady;
     next_heartbeat_s_ = now + constants::peer_heartbeat_interval_s;
     sent_store_contact_ = store_contact_.has_contact();
-    sent_reliance_ = relies_on_read_leases();
-    leases_->begin(now);
-    auto known = sent_store_contact_ ? std::nullopt : known_cancellations();
+    sent_relies_on_read_leases_ = relies_on_read_leases();
+    read_leases_->begin(now);
+    auto cancellations = sent_store_contact_ ? std::nullopt : known_cancellations();
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
         call.peer = peer.name;
         call.has_store_contact = sent_store_contact_;
         call.overload_sample = ctx_.overload.sample(now);
-        call.lease = lease_heartbeat(peer.name, known);
-        ctx_.peer(call, [](bool, const std::optional<WorkerReply>&) {});
+        call.lease = lease_heartbeat(peer.name, cancellations);
+        ctx_.call_peer(call, [](bool, const std::optional<WorkerReply>&) {});
     }
 }
 
-// None if they are too many for one heartbeat.
+// Null if they are too many for one heartbeat.
 std::optional<std::vector<Cancellation>> PeerContact::known_cancellations() const {
-    std::vector<Cancellation> known;
+    std::vector<Cancellation> cancellations;
     std::size_t bytes = 0;
     for (const auto& uid : ctx_.jobs.cancelled_jobs()) {
         bytes += uid.size() + constants::peer_cancellation_overhead_bytes;
         if (bytes > constants::peer_cancellations_bytes_max) {
             return std::nullopt;
         }
-        known.push_back({uid, ctx_.jobs.jobs().at(uid).cancelled_wall});
+        cancellations.push_back({uid, ctx_.jobs.jobs().at(uid).cancelled_wall});
     }
-    return known;
+    return cancellations;
 }
 
-LeaseHeartbeat PeerContact::lease_heartbeat(const std::string& peer,
-                                            const std::optional<std::vector<Cancellation>>& known) {
+LeaseHeartbeat PeerContact::lease_heartbeat(
+    const std::string& peer, const std::optional<std::vector<Cancellation>>& cancellations) {
     using Knows = read_leases::Self::Knows;
     read_leases::Self self;
     self.contact = store_contact_.has_contact();
-    // Read since the start, the replica holds all that the process before confirmed: that was
-    // durable first.
+    // A replica that was read since the start holds every cancellation that the previous process of
+    // this name confirmed: each was durable before it was confirmed.
     bool is_complete = ctx_.jobs.loaded() && store_contact_.has_safe_time();
-    if (is_complete && known) {
+    if (is_complete && cancellations) {
         self.knows = Knows::all;
     } else {
         self.knows = replica_.has_read_all() ? Knows::some : Knows::nothing;
     }
-    LeaseHeartbeat out;
-    out.heartbeat = leases_->next(peer, ctx_.now.steady, self);
-    if (out.heartbeat.grant == read_leases::Grant::full) {
-        out.cancelled = *known;
+    LeaseHeartbeat message;
+    message.heartbeat = read_leases_->next(peer, ctx_.now.steady, self);
+    if (message.heartbeat.grant == read_leases::Grant::full) {
+        message.cancelled = *cancellations;
     }
-    return out;
+    return message;
 }
 
 bool PeerContact::is_recent(const PeerStatus& status, double now_s) {
@@ -108,23 +111,23 @@
 }
 
 bool PeerContact::any_has_store_contact() const {
-    return std::any_of(peers_.begin(), peers_.end(), [this](const auto& entry) {
+    return std::any_of(peer_status_.begin(), peer_status_.end(), [this](const auto& entry) {
         return entry.second.has_store_contact && is_recent(entry.second, ctx_.now.steady);
     });
 }
 
-// Only a message from every peer tells an outage from a refusal that this process alone meets.
+// Only messages from every peer distinguish an outage for all from a refusal of this process alone.
 bool PeerContact::all_lack_store_contact() const {
     const auto& peers = ctx_.settings.peers;
     return std::all_of(peers.begin(), peers.end(), [this](const Peer& peer) {
-        auto entry = peers_.find(peer.name);
-        return entry != peers_.end() && !entry->second.has_store_contact &&
+        auto entry = peer_status_.find(peer.name);
+        return entry != peer_status_.end() && !entry->second.has_store_contact &&
                is_recent(entry->second, ctx_.now.steady);
     });
 }
 
 double PeerContact::cancellations_known_until_s() const {
-    return leases_->known_until(store_contact_.safe_time_s());
+    return read_leases_->known_until(store_contact_.safe_time_s());
 }
 
 }  // namespace cranemoor::core
--- a/src/core/membership/peer_contact.hpp
+++ b/src/core/membership/peer_contact.hpp
@@ -1,6 +1,6 @@
-// PeerContact: the heartbeats between controllers. They say whether the key-value store answers the
-// sender, how scarce writes are for it, and carry the read leases by which controllers go on
-// serving their workers while the store answers none of them (src/read_leases).
+/// PeerContact: the heartbeats between controllers. They carry whether the key-value store answers
+/// the sender, the sender's write load, and the read leases with which controllers continue to
+/// serve their workers while the store answers none of them (src/read_leases).
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace cranemoor::core {
 
-/// Sends this process's heartbeats to its peers and keeps what their messages say.
+/// Sends this process's heartbeats to its peers and tracks the peers' status from their messages.
 class PeerContact {
   public:
     PeerContact(Context& ctx, const StoreContact& store_contact, const ReplicaSync& replica)
@@ -24,14 +24,15 @@
     /// Must be called before any other function; assumes that an earlier process of this name may
     /// have granted read leases.
     void start();
-    /// Sends heartbeats every `constants::peer_heartbeat_interval_s`, and at once when what they
-    /// say has changed.
+    /// Sends heartbeats every `constants::peer_heartbeat_interval_s`, and at once when their
+    /// content about store contact or read leases has changed.
     void tick();
-    /// Any message of `peer` (by name), with whether the key-value store answers the sender.
+    /// Handles any message from the controller named `peer`, with whether the key-value store
+    /// answers the sender.
     void on_message(const std::string& peer, bool has_store_contact);
-    /// A heartbeat of `peer` that carries no read leases: its version knows none.
+    /// Handles a heartbeat of `peer` without the read lease part, from a version that has none.
     void on_heartbeat_without_leases(const std::string& peer);
-    /// A heartbeat of `peer`; the cancellations that came with it must already be noted.
+    /// Handles a heartbeat of `peer`; the cancellations that came with it must already be noted.
     void on_heartbeat(const std::string& peer, const read_leases::Heartbeat& heartbeat);
 
     /// Whether some peer said lately that the key-value store answers it.
@@ -42,8 +43,8 @@
     /// Steady time in seconds until which all cancellations that any controller confirmed to users
     /// are known here.
     double cancellations_known_until_s() const;
-    /// Whether this process has promised a peer to confirm no cancellation to users.
-    bool has_promised_silence() const { return leases_->promised(ctx_.now.steady); }
+    /// Whether a promise of this process to a peer to confirm no cancellation to users holds.
+    bool has_promised_not_to_confirm() const { return read_leases_->promised(ctx_.now.steady); }
 
   private:
     struct PeerStatus {
@@ -53,20 +54,20 @@
 
     static bool is_recent(const PeerStatus& status, double now_s);
     bool relies_on_read_leases() const;
-    void send_when_changed();
+    void schedule_heartbeat_if_changed();
     void send_heartbeats();
     LeaseHeartbeat lease_heartbeat(const std::string& peer,
-                                   const std::optional<std::vector<Cancellation>>& known);
+                                   const std::optional<std::vector<Cancellation>>& cancellations);
     std::optional<std::vector<Cancellation>> known_cancellations() const;
 
     Context& ctx_;
     const StoreContact& store_contact_;
     const ReplicaSync& replica_;
-    std::optional<read_leases::ReadLeases> leases_;  // from the start on
-    std::map<std::string, PeerStatus> peers_;        // by name, as of its last message
-    double next_heartbeat_s_ = 0;                    // steady time
-    bool sent_store_contact_ = false;                // what the last heartbeats said
-    bool sent_reliance_ = false;                     // whether the last ones asked for read leases
+    std::optional<read_leases::ReadLeases> read_leases_;  // set by start()
+    std::map<std::string, PeerStatus> peer_status_;       // by name, as of the last message
+    double next_heartbeat_s_ = 0;                         // steady time
+    bool sent_store_contact_ = false;                     // in the last heartbeats
+    bool sent_relies_on_read_leases_ = false;             // in the last heartbeats
 };
 
 }  // namespace cranemoor::core
--- a/src/core/membership/replica_sync.cpp
+++ b/src/core/membership/replica_sync.cpp
@@ -29,7 +29,7 @@
     call.kind = StoreCall::Kind::list;
     call.key = keys::watched_prefix;
     call.after = after;
-    ctx_.state(call, [this, first_page_revision](const StoreReply& page) {
+    ctx_.call_store(call, [this, first_page_revision](const StoreReply& page) {
         on_page(page, first_page_revision);
     });
 }
@@ -40,8 +40,8 @@
         store_contact_.delay_retries();
         return;
     }
-    // The first page's revision is where the watch begins; later pages may be newer, and the watch
-    // then repeats what they already hold.
+    // The watch starts at the first page's revision. Later pages may be newer; the watch then
+    // repeats changes that they already contain.
     Revision first = first_page_revision == 0 ? page.revision : first_page_revision;
     ctx_.jobs.load(page.events);
     if (page.has_more && !page.events.empty()) {
@@ -52,7 +52,7 @@
     ctx_.jobs.end_load(first);
     has_read_all_ = true;
     // Pages that were read at different revisions show a state that the store never had, until the
-    // watch has brought all changes between them: it does so at once.
+    // watch has delivered all changes between these revisions, which it does at once.
     if (page.revision == first) {
         on_replica_changed();
     }
@@ -61,13 +61,13 @@
 
 void ReplicaSync::watch() {
     watching_ = true;
-    ++watch_number_;
+    ++watch_generation_;
     StoreCall call;
     call.kind = StoreCall::Kind::watch;
     call.key = keys::watched_prefix;
     call.since = ctx_.jobs.revision();
-    ctx_.state(call, [this, number = watch_number_](const StoreReply& reply) {
-        if (number == watch_number_) {
+    ctx_.call_store(call, [this, generation = watch_generation_](const StoreReply& reply) {
+        if (generation == watch_generation_) {
             on_watch_reply(reply);
         }
     });
@@ -76,7 +76,8 @@
 void ReplicaSync::on_watch_reply(const StoreReply& reply) {
     watching_ = false;
     if (reply.status == StoreReply::Status::compacted) {
-        ctx_.info("watch: fell behind, reading everything again");
+        ctx_.info(
+            "watch: its revision is compacted in the key-value store, reading all records again");
         read_page("", 0);
         return;
     }
--- a/src/core/membership/replica_sync.hpp
+++ b/src/core/membership/replica_sync.hpp
@@ -1,5 +1,5 @@
-// ReplicaSync: keeps the local replica of the key-value store's records current, with a full read,
-// page by page, and one watch from its revision on.
+/// ReplicaSync: keeps the local replica of the key-value store's records up to date, with a full
+/// read, page by page, and then one watch that starts at the read's revision.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,24 @@
 
 namespace cranemoor::core {
 
-/// Reads all records, then follows their changes; reads everything again when the store has
-/// compacted the changes it would need (410).
+/// Reads all records, then applies their changes; reads all records again when the store has
+/// compacted the changes after the replica's revision (status 410).
 class ReplicaSync {
   public:
     ReplicaSync(Context& ctx, StoreContact& store_contact)
         : ctx_(ctx), store_contact_(store_contact) {}
 
-    /// Called whenever the replica shows a state that the store had at some revision.
+    /// Called after each change, once the replica shows a state that the store had at some
+    /// revision.
     std::function<void()> on_replica_changed;
 
-    /// Begins the first full read.
+    /// Starts the first full read.
     void start() { read_page("", 0); }
-    /// Begins a full read or a watch again if neither is under way.
+    /// Starts a full read or a watch again if neither is in flight.
     void resume();
-    /// Opens another watch in place of the open one, if there is one.
+    /// Replaces the open watch, if there is one, by a new one.
     void reopen_watch();
-    /// Whether a full read has ended since the start.
+    /// Whether a full read has completed since the start.
     bool has_read_all() const { return has_read_all_; }
 
   private:
@@ -40,7 +41,7 @@
     StoreContact& store_contact_;
     bool reading_ = false;
     bool watching_ = false;
-    std::uint64_t watch_number_ = 0;  // replies to earlier watches are ignored
+    std::uint64_t watch_generation_ = 0;  // replies to earlier watches are ignored
     bool has_read_all_ = false;
 };
 
--- a/src/core/membership/store_lease.cpp
+++ b/src/core/membership/store_lease.cpp
@@ -9,7 +9,7 @@
     request_in_flight_ = true;
     StoreCall call;
     call.kind = StoreCall::Kind::grant;
-    ctx_.state(call, [this](const StoreReply& reply) {
+    ctx_.call_store(call, [this](const StoreReply& reply) {
         request_in_flight_ = false;
         if (reply.status == StoreReply::Status::ok) {
             id_ = reply.lease;
@@ -37,10 +37,10 @@
     StoreCall call;
     call.kind = StoreCall::Kind::renew;
     call.lease = id_;
-    ctx_.state(call, [this, renewed_id = id_](const StoreReply& reply) {
+    ctx_.call_store(call, [this, renewed_id = id_](const StoreReply& reply) {
         renewal_in_flight_ = false;
         if (reply.status == StoreReply::Status::not_found && renewed_id == id_) {
-            ctx_.info("lease {} ended", renewed_id);
+            ctx_.info("lease {} expired in the key-value store, requesting a new one", renewed_id);
             replace();
             on_expired();
         }
--- a/src/core/membership/store_lease.hpp
+++ b/src/core/membership/store_lease.hpp
@@ -1,5 +1,5 @@
-// StoreLease: this process's lease in the key-value store. The member record is attached to it, so
-// that the store deletes the record soon after a process has died.
+/// StoreLease: this process's lease in the key-value store. The member record is attached to it, so
+/// that the store deletes the record soon after the process has died.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,22 @@
 
 namespace cranemoor::core {
 
-/// Requests the lease, keeps it alive and requests another one once it has expired.
+/// Requests the lease, renews it, and requests a new one once it has expired.
 class StoreLease {
   public:
     explicit StoreLease(Context& ctx) : ctx_(ctx) {}
 
     /// Called when the store has granted a lease.
     std::function<void()> on_granted;
-    /// Called when the store has reported that the lease expired, after the next was requested.
+    /// Called when the store's reply says that the lease has expired, after a new one was
+    /// requested.
     std::function<void()> on_expired;
 
     /// The lease's id in the key-value store; 0 without one.
     std::uint64_t id() const { return id_; }
     /// Requests a lease unless one is held or already requested.
     void request();
-    /// Gives up the held lease without revoking it and requests another one.
+    /// Abandons the held lease without revoking it and requests a new one.
     void replace();
     /// Renews the lease every `constants::lease_renewal_interval_s`.
     void keep_alive();
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -172,7 +172,7 @@
         // From here on no claim may lean on what is given up, whatever becomes of the answer:
         // the write may be executed late, for as long as the record keeps its revision.
         ceilings_[t.name] = {it->second.revision, used};
-        ctx_.txn(txn, [](const StoreReply&) {});
+        ctx_.send_txn(txn, [](const StoreReply&) {});
     }
 }
 
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -28,16 +28,16 @@
         return;
     }
     double cancelled_wall = std::max(1.0, ctx_.now.wall);  // 0 would mean not cancelled
-    ctx_.txn(cancellation_txn(*job, cancelled_wall),
-             [this, request, uid, tries_left, cancelled_wall](const StoreReply& reply) {
-                 if (reply.status == StoreReply::Status::ok) {
-                     ctx_.info("job {}: cancelled", uid);
-                     // Guards against an outage of the key-value store just now: the watch may
-                     // never tell of it.
-                     membership_.note_cancelled(uid, cancelled_wall);
-                 }
-                 on_written(request, uid, tries_left, reply);
-             });
+    ctx_.send_txn(cancellation_txn(*job, cancelled_wall),
+                  [this, request, uid, tries_left, cancelled_wall](const StoreReply& reply) {
+                      if (reply.status == StoreReply::Status::ok) {
+                          ctx_.info("job {}: cancelled", uid);
+                          // Guards against an outage of the key-value store just now: the watch may
+                          // never tell of it.
+                          membership_.note_cancelled(uid, cancelled_wall);
+                      }
+                      on_written(request, uid, tries_left, reply);
+                  });
 }
 
 // Claims are conditional on the record that is changed here, so that none can follow.
@@ -55,7 +55,7 @@
         // the first block and leaves the job's own record as it is.
         txn.conditions.push_back({keys::block(uid, 0), job.first_block_record().revision});
         txn.writes = {{keys::job(uid), encode(record)}};
-    } else if (bytes_of(job.block(0)) > ctx_.value_max()) {
+    } else if (bytes_of(job.block(0)) > ctx_.value_bytes_max()) {
         // Its block can't be put again: a record of its own goes before the one that it shares.
         txn.conditions.push_back({keys::block(uid, 0), job.block(0).revision});
         txn.writes = {{keys::job(uid), encode(record)}};
@@ -76,7 +76,7 @@
     if (reply.status == StoreReply::Status::ok && membership_.may_confirm_cancellations()) {
         open_requests_.answer(request, uid, {HttpStatus::ok, JobState::cancelled});
     } else if (reply.status == StoreReply::Status::conflict) {
-        ctx_.when_at(reply.revision, [this, request, uid, tries_left] {
+        ctx_.when_replica_reaches(reply.revision, [this, request, uid, tries_left] {
             if (open_requests_.is_open(request)) {
                 write_cancellation(request, uid, tries_left - 1);
             }
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -31,7 +31,7 @@
     StoreCall call;
     call.kind = StoreCall::Kind::get;
     call.key = keys::final_state(uid);
-    ctx_.state(call, [this, request, uid, found = std::move(found)](const StoreReply& reply) {
+    ctx_.call_store(call, [this, request, uid, found = std::move(found)](const StoreReply& reply) {
         if (!open_requests_.is_open(request)) {
             return;
         }
--- a/src/core/requests/fresh_reads.cpp
+++ b/src/core/requests/fresh_reads.cpp
@@ -25,7 +25,7 @@
     auto batch = std::exchange(waiting_, {});
     Txn txn;
     txn.conditions = {ctx_.epoch_condition()};
-    ctx_.txn(txn, [this, batch](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this, batch](const StoreReply& reply) {
         --checks_in_flight_;
         // Of a conflict the revision is known as well.
         if (reply.status != StoreReply::Status::ok &&
@@ -35,7 +35,7 @@
             }
             return;
         }
-        ctx_.when_at(reply.revision, [this, batch] {
+        ctx_.when_replica_reaches(reply.revision, [this, batch] {
             for (auto request : batch) {
                 open_requests_.resume(request);
             }
--- a/src/core/requests/open_requests.cpp
+++ b/src/core/requests/open_requests.cpp
@@ -39,7 +39,7 @@
 // The reply owns its texts: the caller's may belong to the entry that is erased here.
 void OpenRequests::send(UserReply reply) {
     open_.erase(reply.request);
-    ctx_.out.emplace_back(std::move(reply));
+    ctx_.actions.emplace_back(std::move(reply));
 }
 
 void OpenRequests::answer(RequestId request, const std::string& uid, const JobAnswer& answer) {
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -99,7 +99,7 @@
 // in memory; what is over so long that it isn't is read, within the budget of look-ups, and kept
 // for the case that the user has to come again.
 void SubmissionHandler::accept_dependent(RequestId request, const JobSpec& spec) {
-    if (!ctx_.upgraded()) {
+    if (!ctx_.all_controllers_support()) {
         // A controller of the version before may still have to come back and would start it.
         open_requests_.reject_unavailable(request, spec.uid);
         return;
@@ -177,7 +177,7 @@
 void SubmissionHandler::note_accepted(const JobSpec& spec, Revision revision) {
     // Until the replica shows it, a second submission is looked up by a fresh read.
     accepted_here_.insert(spec.uid);
-    ctx_.when_at(revision, [this, uid = spec.uid] { accepted_here_.erase(uid); });
+    ctx_.when_replica_reaches(revision, [this, uid = spec.uid] { accepted_here_.erase(uid); });
     ctx_.info("job {}: accepted, {} of {} tasks, class {} team {} image {}", spec.uid,
               kind_name(spec.kind), spec.tasks, spec.job_class, spec.team, spec.image);
 }
@@ -189,8 +189,8 @@
     } else if (reply.status != StoreReply::Status::conflict) {
         open_requests_.reject_unavailable(request, submission.spec.uid);
     } else {
-        ctx_.when_at(reply.revision,
-                     [this, request, submission] { accept_again(request, submission); });
+        ctx_.when_replica_reaches(
+            reply.revision, [this, request, submission] { accept_again(request, submission); });
     }
 }
 
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -35,12 +35,12 @@
                                           encode_listing(std::move(builder.listed))});
         }
         ++writes_in_flight_;
-        ctx_.txn(std::move(builder.txn),
-                 [this, batch = std::move(builder.batch)](const StoreReply& reply) {
-                     --writes_in_flight_;
-                     on_written_(batch, reply);
-                     write_pending();
-                 });
+        ctx_.send_txn(std::move(builder.txn),
+                      [this, batch = std::move(builder.batch)](const StoreReply& reply) {
+                          --writes_in_flight_;
+                          on_written_(batch, reply);
+                          write_pending();
+                      });
     }
 }
 
@@ -49,7 +49,8 @@
     builder.txn.urgency = Urgency::high;
     builder.txn.purpose = Txn::Purpose::accept;
     builder.txn.conditions.push_back(ctx_.epoch_condition());
-    builder.room = ctx_.value_max() - std::min(ctx_.value_max(), constants::listing_overhead_bytes);
+    builder.room = ctx_.value_bytes_max() -
+                   std::min(ctx_.value_bytes_max(), constants::listing_overhead_bytes);
     while (const PendingSubmission* submission = submission_queue_.front()) {
         if (!add_front(builder, *submission)) {
             break;
@@ -63,7 +64,8 @@
 bool SubmissionWriter::add_front(BatchBuilder& builder, const PendingSubmission& submission) {
     const auto& uid = submission.spec.uid;
     JobRecord record = new_record(submission);
-    if (record.waiting && submission.follow_parts == 0 && encoded_size(record) > ctx_.value_max()) {
+    if (record.waiting && submission.follow_parts == 0 &&
+        encoded_size(record) > ctx_.value_bytes_max()) {
         write_dependency_parts(submission_queue_.pop_front());
         return true;
     }
@@ -72,7 +74,7 @@
     bool own_record = record.waiting || submission.spec.tasks > record.block_size;
     Json value = encode(record);
     std::size_t size = value.dump().size();
-    if (size > ctx_.value_max()) {
+    if (size > ctx_.value_bytes_max()) {
         reject_too_long(submission_queue_.pop_front());
         return true;
     }
@@ -107,8 +109,8 @@
     if (own_record && !builder.listed.empty()) {
         ++writes;  // the shared record, which is added last
     }
-    return bytes <= builder.room && writes <= ctx_.ops_max() &&
-           builder.txn.conditions.size() + conditions_per_job <= ctx_.conditions_max();
+    return bytes <= builder.room && writes <= ctx_.txn_ops_max() &&
+           builder.txn.conditions.size() + conditions_per_job <= ctx_.txn_conditions_max();
 }
 
 JobRecord SubmissionWriter::new_record(const PendingSubmission& submission) const {
@@ -119,7 +121,7 @@
     record.waiting = !submission.spec.depends_on.empty();
     record.dependency_part_count = submission.follow_parts;
     record.cancelled_wall = submission.cancelled ? std::max(1.0, ctx_.now.wall) : 0;
-    if (record.spec.machine_types && encoded_size(record) > ctx_.value_max()) {
+    if (record.spec.machine_types && encoded_size(record) > ctx_.value_bytes_max()) {
         // A list of many types is cut to those that can be rented.
         std::erase_if(*record.spec.machine_types,
                       [&](const std::string& type) { return agents_.type(type) == nullptr; });
@@ -138,8 +140,8 @@
 // A long list of dependencies is written before the record that accepts the job, a part in each
 // write. Without that record the parts mean nothing, and are removed after a while.
 void SubmissionWriter::write_dependency_parts(PendingSubmission submission) {
-    std::size_t room =
-        ctx_.value_max() - std::min(ctx_.value_max() / 2, constants::listing_overhead_bytes);
+    std::size_t room = ctx_.value_bytes_max() -
+                       std::min(ctx_.value_bytes_max() / 2, constants::listing_overhead_bytes);
     DependencyParts parts(1);
     std::size_t bytes = 0;
     for (const auto& dependency : submission.spec.depends_on) {
@@ -167,19 +169,20 @@
     txn.urgency = Urgency::high;
     txn.conditions = {ctx_.epoch_condition(), {key, ctx_.jobs.revision_of(key)}};
     txn.writes = {{key, encode_dependencies(parts[written])}};
-    ctx_.txn(std::move(txn), [this, submission, parts = std::move(parts)](const StoreReply& reply) {
-        if (reply.status != StoreReply::Status::ok) {
-            for (auto request : submission->requests) {
-                if (open_requests_.is_open(request)) {
-                    open_requests_.reject_unavailable(request, submission->spec.uid);
-                }
-            }
-            return;
-        }
-        ++submission->follow_parts;
-        submission->follow_parts_revision = reply.revision;
-        write_next_part(submission, parts);
-    });
+    ctx_.send_txn(std::move(txn),
+                  [this, submission, parts = std::move(parts)](const StoreReply& reply) {
+                      if (reply.status != StoreReply::Status::ok) {
+                          for (auto request : submission->requests) {
+                              if (open_requests_.is_open(request)) {
+                                  open_requests_.reject_unavailable(request, submission->spec.uid);
+                              }
+                          }
+                          return;
+                      }
+                      ++submission->follow_parts;
+                      submission->follow_parts_revision = reply.revision;
+                      write_next_part(submission, parts);
+                  });
 }
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -29,7 +29,7 @@
         ctx_.info("pressure: {}", ctx_.overload.take_words(t));
     }
     if (membership_.is_leader() && membership_.has_store_contact() &&
-        ctx_.upgraded(current_feature_level)) {
+        ctx_.all_controllers_support(current_feature_level)) {
         update_table();
     }
 }
@@ -116,7 +116,7 @@
     next_refresh_s_ = ctx_.now.steady + constants::admission_table_write_interval_s;
     ctx_.info("admission table {}: records {}", next.number,
               next.shared ? "shared, writes are short" : "by block again");
-    ctx_.txn(std::move(txn), [this](const StoreReply& r) {
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& r) {
         ctx_.when_settled(r, [this] { write_in_flight_ = false; });
     });
 }
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -61,8 +61,8 @@
     }
     take_claim(block_claims_, job, std::move(claim), machines, tasks);
     if (block_keys.size() >= constants::claim_blocks_per_txn_max ||
-        txn.writes.size() + writes_of_next_claim > ctx_.ops_max() ||
-        txn.conditions.size() + constants::claim_conditions_max > ctx_.conditions_max()) {
+        txn.writes.size() + writes_of_next_claim > ctx_.txn_ops_max() ||
+        txn.conditions.size() + constants::claim_conditions_max > ctx_.txn_conditions_max()) {
         send_block_claims();
     }
 }
@@ -93,8 +93,8 @@
     batched_entries_.entries.push_back(std::move(entry));
     take_claim(batched_entries_, job, {}, machines, tasks);
     if (txn.conditions.size() + conditions_of_batched_record + constants::claim_conditions_max >
-            ctx_.conditions_max() ||
-        txn.writes.size() + writes_of_next_claim > ctx_.ops_max()) {
+            ctx_.txn_conditions_max() ||
+        txn.writes.size() + writes_of_next_claim > ctx_.txn_ops_max()) {
         send_batched_claims();
     }
 }
@@ -103,7 +103,7 @@
 void ClaimWriter::take_claim(OpenTransaction& open, const Job& job, Claim claim,
                              const std::vector<std::string>& machines, int tasks) {
     InFlight& in_flight = open.in_flight;
-    ctx_.blocks_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
+    ctx_.block_writes_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
     for (const auto& name : machines) {
         claimed_[name] += job.spec.task_resources;
         in_flight.shares.push_back({name, job.spec.task_resources});
@@ -129,8 +129,8 @@
     // made after the mark holds the mark as well, and the claim is taken back.
     open.in_flight.target = ClaimTarget::block_record;
     hold_replies(open.in_flight);
-    ctx_.txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
-                                      const StoreReply& reply) { settle(in_flight, reply); });
+    ctx_.send_txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
+                                           const StoreReply& reply) { settle(in_flight, reply); });
 }
 
 void ClaimWriter::send_batched_claims() {
@@ -171,7 +171,7 @@
         if (reply.status == Status::conflict) {
             ctx_.debug("claims lost to other changes of {}", fmt::join(reply.failed_keys, ","));
         }
-        ctx_.when_at(reply.revision, [this, in_flight] {
+        ctx_.when_replica_reaches(reply.revision, [this, in_flight] {
             release_quota(in_flight);
             finish(in_flight);
         });
@@ -201,7 +201,7 @@
         blocks_in_flight_ -= in_flight.block_keys.size();
     }
     for (const auto& key : in_flight.block_keys) {
-        ctx_.blocks_in_flight.erase(key);
+        ctx_.block_writes_in_flight.erase(key);
     }
     for (const auto& share : in_flight.shares) {
         Resources& claimed = claimed_[share.machine];
--- a/src/core/scheduling/gang_placement.cpp
+++ b/src/core/scheduling/gang_placement.cpp
@@ -17,7 +17,7 @@
     std::map<int, Block> blocks;
     std::uint64_t last_attempt = 0;
     for (int index = 0; index < job.block_count(); ++index) {
-        if (ctx_.blocks_in_flight.contains(job.block_key(index))) {
+        if (ctx_.block_writes_in_flight.contains(job.block_key(index))) {
             return {};
         }
         blocks[index] = job.block(index);
@@ -91,7 +91,7 @@
         const Machine& machine = *place.offer->machine;
         Placement placement{machine.name, machine.zone, block.attempt, ctx_.self.id};
         bytes += bytes_of(place.task, placement);
-        if (bytes > ctx_.value_max()) {
+        if (bytes > ctx_.value_bytes_max()) {
             return false;
         }
         block.placed[place.task] = std::move(placement);
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -108,7 +108,7 @@
     const Block& now = job.block(block);
     int not_done = job.block_last(block) - job.block_first(block) + 1 - now.done_count();
     return not_done != static_cast<int>(now.placed.size()) &&
-           !ctx_.blocks_in_flight.contains(job.block_key(block)) &&
+           !ctx_.block_writes_in_flight.contains(job.block_key(block)) &&
            batched_claims_.may_claim(job, block);
 }
 
@@ -129,7 +129,7 @@
                                                  const std::vector<Candidate>& candidates,
                                                  std::size_t claimed_before) const {
     const Block& now = job.block(block);
-    const std::size_t machines_max = ctx_.ops_max() * 2;
+    const std::size_t machines_max = ctx_.txn_ops_max() * 2;
     std::size_t bytes = bytes_of(next);
     std::vector<TaskPlace> places;
     std::set<MachineOffer*> offers_used;
@@ -147,7 +147,7 @@
         }
         const Machine& machine = *offer->machine;
         bytes += bytes_of(task, {machine.name, machine.zone, next.attempt, ctx_.self.id});
-        if (bytes > ctx_.value_max()) {
+        if (bytes > ctx_.value_bytes_max()) {
             break;  // its record takes no more
         }
         offer->room -= job.spec.task_resources;
--- a/src/core/store/records.hpp
+++ b/src/core/store/records.hpp
@@ -17,7 +17,7 @@
 
 /// The record formats that a version of the controller understands. Each level includes the lower
 /// ones; records of a level are written only after all controllers have run a version that
-/// understands it, see `Context::upgraded`.
+/// understands it, see `Context::all_controllers_support`.
 enum class FeatureLevel : int {
     none = 0,
     dependencies = 1,   // dependent jobs, and jobs whose blocks were split into pages
