--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -72,7 +72,7 @@
     call.token = ctx_.fencing_token;
     call.agent_epoch = std::max<std::uint64_t>(machine.agent_epoch, 1);
     Token token = ctx_.fencing_token;
-    ctx_.worker_command(
+    ctx_.call_worker(
         call, [this, name = machine.name, token, attempts_left](const WorkerCommandReply& reply) {
             Machine* machine = registry_.find(name);
             if (machine == nullptr || !reply.heartbeat || !machine->owned_by_us ||
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -245,7 +245,7 @@
     txn.urgency = deferrable ? Urgency::low : Urgency::normal;
     txn.conditions.push_back(ctx_.epoch_condition());
     blocks_in_flight_ += written.size();
-    ctx_.txn(std::move(txn), [this, locked_keys, written](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this, locked_keys, written](const StoreReply& reply) {
         blocks_in_flight_ -= written.size();
         on_write_settled(reply, locked_keys, written);
     });
@@ -258,7 +258,7 @@
                                         const std::vector<BlockRef>& blocks) {
     ctx_.when_settled(reply, [this, locked_keys, blocks] {
         for (const auto& key : locked_keys) {
-            ctx_.blocks_in_flight.erase(key);
+            ctx_.block_writes_in_flight.erase(key);
         }
         for (const BlockRef& ref : blocks) {
             if (auto it = pending_.find(ref); it != pending_.end()) {
@@ -302,7 +302,7 @@
         }
         std::size_t entry_bytes = bytes_of(entry);
         if (must_wait || bytes + entry_bytes > batched_claims_.entry_bytes_per_write() ||
-            ctx_.blocks_in_flight.contains(key)) {
+            ctx_.block_writes_in_flight.contains(key)) {
             pending.needs_review = true;
             continue;
         }
@@ -314,7 +314,7 @@
     if (entries.empty()) {
         return;
     }
-    ctx_.blocks_in_flight.insert(locked_keys.begin(), locked_keys.end());
+    ctx_.block_writes_in_flight.insert(locked_keys.begin(), locked_keys.end());
     batched_write_in_flight_ = true;
     next_batched_write_at_ = ctx_.now.steady + constants::batched_exit_write_interval_s;
     batched_claims_.write(std::move(entries), {},
@@ -331,7 +331,7 @@
     const auto& [uid, block] = ref;
     const Job& job = *ctx_.jobs.find(uid);
     auto key = job.block_key(block);
-    if (ctx_.blocks_in_flight.contains(key)) {
+    if (ctx_.block_writes_in_flight.contains(key)) {
         return false;
     }
     const Block& current = job.block(block);
@@ -340,13 +340,14 @@
     int done = job.done() + next.done_count() - current.done_count();
     bool completes = done == job.spec.tasks && !job.cancelled;
     // Otherwise complete_finished_jobs completes the job once its blocks are written.
-    completes = completes && 1 + job.other_block_records().size() <= ctx_.ops_max();
+    completes = completes && 1 + job.other_block_records().size() <= ctx_.txn_ops_max();
     for (const auto& [other, record] : job.blocks) {
-        completes = completes && !ctx_.blocks_in_flight.contains(job.block_key(other));
+        completes = completes && !ctx_.block_writes_in_flight.contains(job.block_key(other));
     }
-    if (!completes && bytes_of(next) > ctx_.value_max()) {
+    if (!completes && bytes_of(next) > ctx_.value_bytes_max()) {
         // Written by the previous version, under a larger limit.
-        bool fits_old_limit = !ctx_.upgraded() && bytes_of(next) <= ctx_.value_max_today();
+        bool fits_old_limit =
+            !ctx_.all_controllers_support() && bytes_of(next) <= ctx_.current_value_bytes_max();
         if (!fits_old_limit) {
             ctx_.jobs_to_split.insert(uid);
             return false;
@@ -360,12 +361,12 @@
         job.add_block_write(block, next, block_writes);
     }
     // The epoch adds one more condition.
-    if (txn.writes.size() + block_writes.writes.size() > ctx_.ops_max() ||
-        txn.conditions.size() + block_writes.conditions.size() + 1 > ctx_.conditions_max()) {
+    if (txn.writes.size() + block_writes.writes.size() > ctx_.txn_ops_max() ||
+        txn.conditions.size() + block_writes.conditions.size() + 1 > ctx_.txn_conditions_max()) {
         return false;
     }
     append(txn, std::move(block_writes));
-    ctx_.blocks_in_flight.insert(changed_keys.begin(), changed_keys.end());
+    ctx_.block_writes_in_flight.insert(changed_keys.begin(), changed_keys.end());
     locked_keys.insert(locked_keys.end(), changed_keys.begin(), changed_keys.end());
     return true;
 }
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -17,7 +17,7 @@
     call.kind = CloudCall::Kind::release;
     call.machines = machines;
     std::set<std::string> names(machines.begin(), machines.end());
-    ctx_.cloud(call, [names, on_reply](const CloudReply& reply) {
+    ctx_.call_cloud(call, [names, on_reply](const CloudReply& reply) {
         on_reply(reply.status == CloudReply::Status::ok, names);
     });
 }
@@ -104,10 +104,10 @@
             }
         }
         if (batch.released.size() == original.released.size() ||
-            txn.writes.size() >= ctx_.ops_max()) {
+            txn.writes.size() >= ctx_.txn_ops_max()) {
             continue;
         }
-        if (bytes <= ctx_.value_max()) {
+        if (bytes <= ctx_.value_bytes_max()) {
             txn.conditions.push_back({key, original.revision});
             txn.writes.push_back({key, encode(batch)});
         } else {
@@ -119,7 +119,7 @@
         return;
     }
     // Unless this is written, the machines are released again, which does no harm.
-    ctx_.txn(txn, [this](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this](const StoreReply& reply) {
         if (reply.status != StoreReply::Status::ok) {
             next_release_at_s_ = ctx_.now.steady + constants::store_retry_delay_s;
         }
@@ -137,9 +137,9 @@
     separate_batch.fence = original.fence;
     std::size_t bytes = 0;
     auto write_and_reset = [&] {
-        if (!separate_batch.machines.empty() && txn.writes.size() < ctx_.ops_max()) {
+        if (!separate_batch.machines.empty() && txn.writes.size() < ctx_.txn_ops_max()) {
             separate_batch.released = separate_batch.machines;
-            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.mark_records_written);
+            auto key = keys::cordon_batch(ctx_.self.id, ++ctx_.cordon_batches_written);
             txn.conditions.push_back({key, 0});
             txn.writes.push_back({key, encode(separate_batch)});
         }
@@ -152,7 +152,7 @@
         if (!original.machines.contains(name) || (cordon != nullptr && cordon->released)) {
             continue;
         }
-        if (bytes + cordon_bytes(name) > ctx_.value_max()) {
+        if (bytes + cordon_bytes(name) > ctx_.value_bytes_max()) {
             write_and_reset();
         }
         bytes += cordon_bytes(name);
@@ -177,7 +177,7 @@
             continue;
         }
         double released_since_s = released_since_s_.try_emplace(key, ctx_.now.steady).first->second;
-        if (may_delete_batch(batch, released_since_s) && txn.writes.size() < ctx_.ops_max()) {
+        if (may_delete_batch(batch, released_since_s) && txn.writes.size() < ctx_.txn_ops_max()) {
             txn.conditions.push_back({key, batch.revision});
             txn.writes.push_back({key, std::nullopt});
         }
@@ -186,7 +186,7 @@
         return;
     }
     deletion_in_flight_ = true;
-    ctx_.txn(txn, [this](const StoreReply& reply) {
+    ctx_.send_txn(txn, [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { deletion_in_flight_ = false; });
     });
 }
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -66,7 +66,7 @@
 }
 
 std::size_t BatchedClaims::record_bytes_max() const {
-    return std::min(ctx_.value_max(), constants::claim_batch_bytes_max);
+    return std::min(ctx_.value_bytes_max(), constants::claim_batch_bytes_max);
 }
 
 std::size_t BatchedClaims::entry_bytes_per_write() const {
@@ -179,7 +179,7 @@
             txn.conditions = {ctx_.epoch_condition(), {key, outcome.revision}};
             txn.writes = {{key, encode(batch)}};
             writes_in_flight_.insert(key);
-            ctx_.txn(std::move(txn), [this, key = key](const StoreReply& reply) {
+            ctx_.send_txn(std::move(txn), [this, key = key](const StoreReply& reply) {
                 ctx_.when_settled(reply, [this, key] { writes_in_flight_.erase(key); });
             });
         }
@@ -203,8 +203,8 @@
     txn.purpose = Txn::Purpose::claim_batch;
     writes_in_flight_.insert(target.key);
     Revision epoch = ctx_.jobs.revision_of(keys::epoch);
-    ctx_.txn(std::move(txn), [this, target, epoch,
-                              on_reply = std::move(on_reply)](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this, target, epoch,
+                                   on_reply = std::move(on_reply)](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, key = target.key] { writes_in_flight_.erase(key); });
         if (reply.status == StoreReply::Status::unknown) {
             UnknownOutcome& outcome = unknown_outcomes_[target.key];
@@ -251,7 +251,7 @@
         return;
     }
     retire_in_flight_ = true;
-    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { retire_in_flight_ = false; });
     });
 }
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -182,7 +182,7 @@
         StoreCall call;
         call.kind = StoreCall::Kind::get;
         call.key = keys::final_state(dependency);
-        ctx_.state(call, [this, dependency, uid](const StoreReply& reply) {
+        ctx_.call_store(call, [this, dependency, uid](const StoreReply& reply) {
             reads_in_flight_.erase(dependency);
             if (reply.status == StoreReply::Status::ok) {
                 archived_outcomes_[dependency] =
@@ -213,7 +213,7 @@
     txn.writes = {{keys::job(uid), encode(record)}};
     writes_in_flight_.insert(uid);
     ctx_.info("job {}: all of its dependencies are done", uid);
-    ctx_.txn(std::move(txn), [this, uid](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this, uid](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, uid] { writes_in_flight_.erase(uid); });
     });
 }
@@ -251,14 +251,14 @@
             return;
         }
         txn.conditions.push_back(ctx_.epoch_condition());
-        ctx_.txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
-                 [this, batch_uids](const StoreReply& reply) {
-                     ctx_.when_settled(reply, [this, batch_uids] {
-                         for (const auto& uid : batch_uids) {
-                             writes_in_flight_.erase(uid);
-                         }
-                     });
-                 });
+        ctx_.send_txn(std::exchange(txn, Txn{{}, {}, Urgency::high}),
+                      [this, batch_uids](const StoreReply& reply) {
+                          ctx_.when_settled(reply, [this, batch_uids] {
+                              for (const auto& uid : batch_uids) {
+                                  writes_in_flight_.erase(uid);
+                              }
+                          });
+                      });
         batch_uids.clear();
     };
     for (const auto& uid : uids) {
@@ -271,8 +271,8 @@
         add_final_state_writes(ctx_, *job, true, txn);
         // The next job adds at least one write and three conditions, and the epoch condition is
         // added last.
-        if (txn.writes.size() >= ctx_.ops_max() ||
-            txn.conditions.size() + 4 > ctx_.conditions_max()) {
+        if (txn.writes.size() >= ctx_.txn_ops_max() ||
+            txn.conditions.size() + 4 > ctx_.txn_conditions_max()) {
             send();
         }
     }
@@ -297,7 +297,7 @@
         }
         // The last part is deleted first: a late write that accepts the job is conditional on it.
         auto part = parts.end();
-        while (part != parts.begin() && txn.writes.size() < ctx_.ops_max()) {
+        while (part != parts.begin() && txn.writes.size() < ctx_.txn_ops_max()) {
             --part;
             auto key = keys::dependencies(uid, part->first);
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
@@ -305,7 +305,7 @@
         }
     }
     if (!txn.writes.empty()) {
-        ctx_.txn(std::move(txn), [](const StoreReply&) {});
+        ctx_.send_txn(std::move(txn), [](const StoreReply&) {});
     }
 }
 
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -11,7 +11,7 @@
     if (!ctx_.is_member || ctx_.jobs_to_split.empty()) {
         return;
     }
-    if (!ctx_.upgraded()) {
+    if (!ctx_.all_controllers_support()) {
         ctx_.jobs_to_split.clear();  // requested again by whoever needs it
         return;
     }
@@ -29,7 +29,7 @@
 void OversizedBlockSplit::split(const Job& job) {
     JobRecord record = job.record();
     record.page_size = tasks_per_block(ctx_);
-    std::size_t available_bytes = ctx_.value_max() - constants::block_overhead_bytes;
+    std::size_t available_bytes = ctx_.value_bytes_max() - constants::block_overhead_bytes;
     for (const auto& [index, block] : job.blocks) {
         // Machine names may be longer than the block size is computed for.
         std::size_t tasks = std::max<std::size_t>(1, block.placed.size() + block.done.size());
@@ -49,7 +49,7 @@
     ctx_.info("job {}: block records exceed the value limit, splitting them into pages of {} tasks",
               job.spec.uid, record.page_size);
     splits_in_flight_.insert(job.spec.uid);
-    ctx_.txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this, uid = job.spec.uid](const StoreReply& reply) {
         ctx_.when_settled(reply, [this, uid] { splits_in_flight_.erase(uid); });
     });
 }
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -182,7 +182,7 @@
         // From here on no claim may use what is returned, whatever the reply is: the write may be
         // applied late, for as long as the record keeps its revision.
         slice_caps_[team.name] = {it->second.revision, used};
-        ctx_.txn(txn, [](const StoreReply&) {});
+        ctx_.send_txn(txn, [](const StoreReply&) {});
     }
 }
 
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -32,20 +32,21 @@
     StoreCall call;
     call.kind = StoreCall::Kind::get;
     call.key = keys::final_state(uid);
-    ctx_.state(call, [this, request, uid, on_found = std::move(on_found)](const StoreReply& reply) {
-        if (!open_requests_.is_open(request)) {
-            return;
-        }
-        if (reply.status == StoreReply::Status::ok) {
-            Finished final_state = decode_finished(reply.value);
-            add_to_cache(uid, final_state);
-            on_found(&final_state);
-        } else if (reply.status == StoreReply::Status::not_found) {
-            on_found(nullptr);
-        } else {
-            open_requests_.reject_unavailable(request, uid);
-        }
-    });
+    ctx_.call_store(call,
+                    [this, request, uid, on_found = std::move(on_found)](const StoreReply& reply) {
+                        if (!open_requests_.is_open(request)) {
+                            return;
+                        }
+                        if (reply.status == StoreReply::Status::ok) {
+                            Finished final_state = decode_finished(reply.value);
+                            add_to_cache(uid, final_state);
+                            on_found(&final_state);
+                        } else if (reply.status == StoreReply::Status::not_found) {
+                            on_found(nullptr);
+                        } else {
+                            open_requests_.reject_unavailable(request, uid);
+                        }
+                    });
 }
 
 void FinishedJobs::add_to_cache(const std::string& uid, const Finished& final_state) {
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -100,7 +100,7 @@
 // one that finished too long ago to be there is read from the key-value store, within the rate
 // limit of such reads, and cached in case the user has to submit again.
 void SubmissionHandler::accept_dependent(RequestId request, const JobSpec& spec) {
-    if (!ctx_.upgraded()) {
+    if (!ctx_.all_controllers_support()) {
         // A controller of the previous version may still come back, and would start the job.
         open_requests_.reject_unavailable(request, spec.uid);
         return;
@@ -178,7 +178,8 @@
 void SubmissionHandler::record_accepted(const JobSpec& spec, Revision revision) {
     // Until the replica shows the job, another submission of it needs a fresh read.
     accepted_not_in_replica_.insert(spec.uid);
-    ctx_.when_at(revision, [this, uid = spec.uid] { accepted_not_in_replica_.erase(uid); });
+    ctx_.when_replica_reaches(revision,
+                              [this, uid = spec.uid] { accepted_not_in_replica_.erase(uid); });
     ctx_.info("job {}: accepted, {} of {} tasks, class {} team {} image {}", spec.uid,
               kind_name(spec.kind), spec.tasks, spec.job_class, spec.team, spec.image);
 }
@@ -190,8 +191,8 @@
     } else if (reply.status != StoreReply::Status::conflict) {
         open_requests_.reject_unavailable(request, submission.spec.uid);
     } else {
-        ctx_.when_at(reply.revision,
-                     [this, request, submission] { retry_accept(request, submission); });
+        ctx_.when_replica_reaches(
+            reply.revision, [this, request, submission] { retry_accept(request, submission); });
     }
 }
 
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -29,7 +29,7 @@
         ctx_.info("write load: {}", ctx_.overload.take_log_summary(now));
     }
     if (membership_.is_leader() && membership_.has_store_contact() &&
-        ctx_.upgraded(current_feature_level)) {
+        ctx_.all_controllers_support(current_feature_level)) {
         update_table();
     }
 }
@@ -120,7 +120,7 @@
               next.write_overload
                   ? "writes scarce, array claims and task exits go to claim batches"
                   : "writes no longer scarce, claims and task exits go to block records");
-    ctx_.txn(std::move(txn), [this](const StoreReply& reply) {
+    ctx_.send_txn(std::move(txn), [this](const StoreReply& reply) {
         ctx_.when_settled(reply, [this] { write_in_flight_ = false; });
     });
 }
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -62,8 +62,8 @@
     }
     track_claim(block_transaction_, job, std::move(claim), machines, tasks);
     if (block_keys.size() >= constants::claim_blocks_per_txn_max ||
-        txn.writes.size() + claim_writes_max > ctx_.ops_max() ||
-        txn.conditions.size() + constants::claim_conditions_max > ctx_.conditions_max()) {
+        txn.writes.size() + claim_writes_max > ctx_.txn_ops_max() ||
+        txn.conditions.size() + constants::claim_conditions_max > ctx_.txn_conditions_max()) {
         send_block_claims();
     }
 }
@@ -94,8 +94,8 @@
     batched_transaction_.entries.push_back(std::move(entry));
     track_claim(batched_transaction_, job, {}, machines, tasks);
     if (txn.conditions.size() + claim_batch_conditions + constants::claim_conditions_max >
-            ctx_.conditions_max() ||
-        txn.writes.size() + claim_writes_max > ctx_.ops_max()) {
+            ctx_.txn_conditions_max() ||
+        txn.writes.size() + claim_writes_max > ctx_.txn_ops_max()) {
         send_batched_claims();
     }
 }
@@ -104,7 +104,7 @@
 void ClaimWriter::track_claim(OpenTransaction& open, const Job& job, Claim claim,
                               const std::vector<std::string>& machines, int tasks) {
     InFlightClaims& in_flight = open.in_flight;
-    ctx_.blocks_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
+    ctx_.block_writes_in_flight.insert(in_flight.block_keys.begin(), in_flight.block_keys.end());
     for (const auto& name : machines) {
         claimed_by_machine_[name] += job.spec.task_resources;
         in_flight.claimed_resources.push_back({name, job.spec.task_resources});
@@ -131,8 +131,8 @@
     // a claim made after the cordon also holds the cordon, and the claim is withdrawn.
     open.in_flight.target = ClaimTarget::block_record;
     hold_heartbeat_replies(open.in_flight);
-    ctx_.txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
-                                      const StoreReply& reply) { settle(in_flight, reply); });
+    ctx_.send_txn(std::move(open.txn), [this, in_flight = std::move(open.in_flight)](
+                                           const StoreReply& reply) { settle(in_flight, reply); });
 }
 
 void ClaimWriter::send_batched_claims() {
@@ -174,7 +174,7 @@
             ctx_.debug("claims rejected because other writes changed {}",
                        fmt::join(reply.failed_keys, ","));
         }
-        ctx_.when_at(reply.revision, [this, in_flight] {
+        ctx_.when_replica_reaches(reply.revision, [this, in_flight] {
             release_quota(in_flight);
             release_in_flight(in_flight);
         });
@@ -204,7 +204,7 @@
         blocks_in_flight_ -= in_flight.block_keys.size();
     }
     for (const auto& key : in_flight.block_keys) {
-        ctx_.blocks_in_flight.erase(key);
+        ctx_.block_writes_in_flight.erase(key);
     }
     for (const auto& taken : in_flight.claimed_resources) {
         Resources& claimed = claimed_by_machine_[taken.machine];
