--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -1,4 +1,4 @@
-// The operators' own settings. docs/operations.md lists the elements.
+// The operators' settings file; docs/operations.md lists its elements.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -10,11 +10,12 @@
 
 namespace {
 
+// An element of the file, the value that it sets, and the range of that value.
 struct Element {
     const char* name;
     double core::Tunables::*field;
-    double least;
-    double most;
+    double min;
+    double max;
 };
 
 constexpr auto elements = std::to_array<Element>({
@@ -27,7 +28,8 @@
     {"silence-s", &core::Tunables::worker_timeout_s, 4, 600},
 });
 
-std::string at(const std::string& text, std::ptrdiff_t offset, const std::string& name) {
+// The start of an error message: the file name and the line that contains `offset`.
+std::string error_prefix(const std::string& text, std::ptrdiff_t offset, const std::string& name) {
     auto end = text.begin() +
                std::clamp<std::ptrdiff_t>(offset, 0, static_cast<std::ptrdiff_t>(text.size()));
     return name + ": line " + std::to_string(1 + std::count(text.begin(), end, '\n')) + ": ";
@@ -35,52 +37,54 @@
 
 }  // namespace
 
-core::Tunables parse_operators(const std::string& text, const std::string& name) {
+core::Tunables parse_tunables(const std::string& text, const std::string& name) {
     pugi::xml_document document;
     auto parsed = document.load_buffer(text.data(), text.size());
     if (!parsed) {
-        throw Error(at(text, parsed.offset, name) + parsed.description());
+        throw Error(error_prefix(text, parsed.offset, name) + parsed.description());
     }
     pugi::xml_node root = document.document_element();
     if (std::string(root.name()) != "cranemoor") {
-        throw Error(at(text, root.offset_debug(), name) + "the root element must be <cranemoor>");
+        throw Error(error_prefix(text, root.offset_debug(), name) +
+                    "the root element must be <cranemoor>");
     }
     core::Tunables tunables;
     for (pugi::xml_node node : root.children()) {
         if (node.type() != pugi::node_element) {
             continue;
         }
-        std::string where = at(text, node.offset_debug(), name);
-        const auto* known =
-            std::find_if(std::begin(elements), std::end(elements),
-                         [&](const Element& e) { return std::string(node.name()) == e.name; });
-        if (known == std::end(elements)) {
-            throw Error(where + "unknown element <" + node.name() + ">");
+        std::string prefix = error_prefix(text, node.offset_debug(), name);
+        const auto* found = std::find_if(
+            std::begin(elements), std::end(elements),
+            [&](const Element& element) { return std::string(node.name()) == element.name; });
+        if (found == std::end(elements)) {
+            throw Error(prefix + "unknown element <" + node.name() + ">");
         }
         std::string value = node.text().as_string();
-        std::size_t used = 0;
+        std::size_t parsed_size = 0;
         double number = NAN;
         try {
-            number = std::stod(value, &used);
+            number = std::stod(value, &parsed_size);
         } catch (const std::exception&) {
-            used = 0;
+            parsed_size = 0;
         }
-        if (used == 0 || used != value.size() || !(number >= known->least) ||
-            !(number <= known->most)) {
-            throw Error(where + "<" + known->name + "> must be a number from " +
-                        std::to_string(known->least) + " to " + std::to_string(known->most));
+        if (parsed_size == 0 || parsed_size != value.size() || !(number >= found->min) ||
+            !(number <= found->max)) {
+            throw Error(prefix + "<" + found->name + "> must be a number from " +
+                        std::to_string(found->min) + " to " + std::to_string(found->max));
         }
-        tunables.*(known->field) = number;
+        tunables.*(found->field) = number;
     }
     return tunables;
 }
 
-void check(const core::Settings& settings, const core::Tunables& tunables) {
-    double longest = settings.heartbeat_interval_s * core::constants::heartbeat_interval_factor;
-    if (tunables.worker_timeout_s > 0 && tunables.worker_timeout_s <= longest) {
-        throw Error("<silence-s> must be above " + std::to_string(longest) +
-                    ": workers that report every " + std::to_string(settings.heartbeat_interval_s) +
-                    " s may be quiet that long");
+void validate_tunables(const core::Settings& settings, const core::Tunables& tunables) {
+    double interval_max_s =
+        settings.heartbeat_interval_s * core::constants::heartbeat_interval_factor;
+    if (tunables.worker_timeout_s > 0 && tunables.worker_timeout_s <= interval_max_s) {
+        throw Error("<silence-s> must be above " + std::to_string(interval_max_s) +
+                    ": workers that send a heartbeat every " +
+                    std::to_string(settings.heartbeat_interval_s) + " s may be silent that long");
     }
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,101 +11,107 @@
 
 namespace {
 
-std::string slurp(const std::string& path) {
-    std::ifstream in(path, std::ios::binary);
-    if (!in) {
+std::string read_file(const std::string& path) {
+    std::ifstream file(path, std::ios::binary);
+    if (!file) {
         throw Error(path + ": cannot be read");
     }
     std::ostringstream text;
-    text << in.rdbuf();
+    text << file.rdbuf();
     return text.str();
 }
 
-class Reader {
+// Reads the values of a TOML table. A getter throws `Error`, with the full path of the key, if the
+// key is missing or its value is invalid.
+class TableReader {
   public:
-    Reader(const toml::table& table, std::string file, std::string path)
-        : table_(table), file_(std::move(file)), path_(std::move(path)) {}
+    TableReader(const toml::table& table, std::string file_name, std::string key_prefix)
+        : table_(table), file_name_(std::move(file_name)), key_prefix_(std::move(key_prefix)) {}
 
     std::string text(const char* key) const {
-        auto v = table_[key].value<std::string>();
-        if (!v || v->empty()) {
-            missing(key, "a text");
+        auto value = table_[key].value<std::string>();
+        if (!value || value->empty()) {
+            reject(key, "a non-empty string");
         }
-        return *v;
+        return *value;
     }
-    double number(const char* key, double least, bool needed = true, double fallback = 0) const {
-        if (!table_.contains(key) && !needed) {
+    // A finite number from `min` to `setting_value_max`; `fallback` if the key is missing and not
+    // required.
+    double number(const char* key, double min, bool required = true, double fallback = 0) const {
+        if (!table_.contains(key) && !required) {
             return fallback;
         }
-        auto v = table_[key].value<double>();
-        if (!v || !std::isfinite(*v) || *v < least || *v > core::constants::setting_value_max) {
-            missing(key, "a number of at least " + std::to_string(least));
+        auto value = table_[key].value<double>();
+        if (!value || !std::isfinite(*value) || *value < min ||
+            *value > core::constants::setting_value_max) {
+            reject(key, "a number of at least " + std::to_string(min));
         }
-        return *v;
+        return *value;
     }
     bool has(const char* key) const { return table_.contains(key); }
-    Reader table(const char* key) const {
-        const auto* t = table_[key].as_table();
-        if (t == nullptr) {
-            missing(key, "a table");
+    TableReader table(const char* key) const {
+        const auto* subtable = table_[key].as_table();
+        if (subtable == nullptr) {
+            reject(key, "a table");
         }
-        return {*t, file_, path_ + key + "."};
+        return {*subtable, file_name_, key_prefix_ + key + "."};
     }
-    template <typename F>
-    void each(const char* key, F&& f) const {
+    // Calls `visit` with each table of a list; does nothing if the key is missing or not a list.
+    template <typename Visitor>
+    void for_each(const char* key, Visitor&& visit) const {
         const auto* list = table_[key].as_array();
         if (list == nullptr) {
             return;
         }
         for (const auto& item : *list) {
-            const auto* t = item.as_table();
-            if (t == nullptr) {
-                missing(key, "a list of tables");
+            const auto* entry = item.as_table();
+            if (entry == nullptr) {
+                reject(key, "a list of tables");
             }
-            f(Reader(*t, file_, path_ + key + "."));
+            visit(TableReader(*entry, file_name_, key_prefix_ + key + "."));
         }
     }
     std::vector<std::string> texts(const char* key) const {
         const auto* list = table_[key].as_array();
-        std::vector<std::string> out;
+        std::vector<std::string> strings;
         if (list != nullptr) {
             for (const auto& item : *list) {
-                if (auto v = item.value<std::string>()) {
-                    out.push_back(*v);
+                if (auto value = item.value<std::string>()) {
+                    strings.push_back(*value);
                 }
             }
         }
-        if (out.empty()) {
-            missing(key, "a list of texts");
+        if (strings.empty()) {
+            reject(key, "a list with at least one string");
         }
-        return out;
+        return strings;
     }
 
   private:
-    [[noreturn]] void missing(const char* key, const std::string& what) const {
-        throw Error(file_ + ": " + path_ + key + " must be " + what);
+    [[noreturn]] void reject(const char* key, const std::string& requirement) const {
+        throw Error(file_name_ + ": " + key_prefix_ + key + " must be " + requirement);
     }
     const toml::table& table_;
-    std::string file_;
-    std::string path_;
+    std::string file_name_;
+    std::string key_prefix_;
 };
 
-// The names and addresses of this controller, its peers and the services that it uses.
-void read_addresses(const Reader& file, core::Settings& settings) {
+// Reads the names and addresses of this controller, its peers and the services that it uses.
+void read_addresses(const TableReader& file, core::Settings& settings) {
     settings.name = file.text("node_name");
     settings.zone = file.text("zone");
     settings.listen_address = file.text("serve_on");
     settings.peer_listen_address = file.text("back");
-    file.each("known", [&](const Reader& peer) {
+    file.for_each("known", [&](const TableReader& peer) {
         settings.peers.push_back(
             {peer.text("node_name"), peer.text("zone"), peer.text("endpoint")});
     });
-    Reader services = file.table("services");
+    TableReader services = file.table("services");
     settings.cloud_address = services.text("cloud");
     settings.store_address = services.text("state");
 }
 
-core::Team read_team(const Reader& entry) {
+core::Team read_team(const TableReader& entry) {
     core::Team team;
     team.name = entry.text("name");
     team.guarantee.cpus = entry.number("cpus", 0, false);
@@ -115,7 +121,7 @@
     return team;
 }
 
-core::Objective read_objective(const Reader& entry) {
+core::Objective read_objective(const TableReader& entry) {
     core::Objective objective;
     objective.kind = entry.text("kind");
     if (objective.kind == "wait" || objective.kind == "finished") {
@@ -126,7 +132,7 @@
     return objective;
 }
 
-void read_worker_timers(const Reader& workers, core::Settings& settings) {
+void read_worker_timers(const TableReader& workers, core::Settings& settings) {
     settings.heartbeat_interval_s = workers.number("report_s", 0.1);
     settings.lease_s = workers.number("lease_s", 1);
     settings.gang_start_timeout_s = workers.number("gang_wait_s", 0);
@@ -134,23 +140,23 @@
     settings.cancel_deadline_s = workers.number("cancel_s", 1);
 }
 
-// The limits of the key-value store.
-void read_store_limits(const Reader& store, core::Settings& settings) {
-    const double least_ops = core::constants::txn_ops_min;
+// Reads the limits of the key-value store.
+void read_store_limits(const TableReader& store, core::Settings& settings) {
+    const double txn_ops_min = core::constants::txn_ops_min;
     settings.store_requests_per_s = store.number("rps", 1);
     settings.store_writes_per_s = store.number("write_rps", 1);
     settings.store_value_kb_max = store.number("value_kb", 1);
     settings.store_current_value_kb_max = settings.store_value_kb_max;
-    settings.store_txn_ops_max = static_cast<int>(store.number("txn_ops", least_ops));
+    settings.store_txn_ops_max = static_cast<int>(store.number("txn_ops", txn_ops_min));
     if (!store.has("next")) {
         return;
     }
-    // Announced limits come without notice: kept to from the start, they surprise nobody.
-    Reader next = store.table("next");
+    // The announced limits take effect without notice, so they are respected from the start.
+    TableReader next = store.table("next");
     double write_rps = next.number("write_rps", 1, false, settings.store_writes_per_s);
     double value_kb = next.number("value_kb", 1, false, settings.store_value_kb_max);
     auto txn_ops =
-        static_cast<int>(next.number("txn_ops", least_ops, false, settings.store_txn_ops_max));
+        static_cast<int>(next.number("txn_ops", txn_ops_min, false, settings.store_txn_ops_max));
     settings.store_writes_per_s = std::min(settings.store_writes_per_s, write_rps);
     settings.store_value_kb_max = std::min(settings.store_value_kb_max, value_kb);
     settings.store_txn_ops_max = std::min(settings.store_txn_ops_max, txn_ops);
@@ -160,9 +166,9 @@
     try {
         return toml::parse(text, name);
     } catch (const toml::parse_error& error) {
-        std::ostringstream where;
-        where << name << ": line " << error.source().begin.line << ": " << error.description();
-        throw Error(where.str());
+        std::ostringstream message;
+        message << name << ": line " << error.source().begin.line << ": " << error.description();
+        throw Error(message.str());
     }
 }
 
@@ -170,34 +176,34 @@
 
 core::Settings parse_settings(const std::string& text, const std::string& name) {
     toml::table table = parse_toml(text, name);
-    Reader file(table, name, "");
+    TableReader file(table, name, "");
     core::Settings settings;
     read_addresses(file, settings);
-    Reader platform = file.table("settings");
+    TableReader platform = file.table("settings");
     settings.zones = platform.texts("zones");
     settings.clock_error_max_s = platform.number("clock_off_ms", 0, false) / 1000;
-    platform.each("teams",
-                  [&](const Reader& entry) { settings.teams.push_back(read_team(entry)); });
-    platform.each("objectives", [&](const Reader& entry) {
+    platform.for_each(
+        "teams", [&](const TableReader& entry) { settings.teams.push_back(read_team(entry)); });
+    platform.for_each("objectives", [&](const TableReader& entry) {
         settings.objectives.push_back(read_objective(entry));
     });
     read_worker_timers(platform.table("workers"), settings);
     read_store_limits(platform.table("state"), settings);
-    Reader cloud = platform.table("cloud");
+    TableReader cloud = platform.table("cloud");
     settings.cloud_requests_per_s = cloud.number("rps", 0.1);
     settings.list_lag_s = cloud.number("list_lag_s", 0, false);
-    Reader machine_limits = platform.table("machine_limits");
+    TableReader machine_limits = platform.table("machine_limits");
     settings.max_connections =
         static_cast<int>(machine_limits.number("max_connections", 16, false, 1000));
     return settings;
 }
 
 core::Settings read_settings(const std::string& path) {
-    return parse_settings(slurp(path), path);
+    return parse_settings(read_file(path), path);
 }
 
-core::Tunables read_operators(const std::string& path) {
-    return parse_operators(slurp(path), path);
+core::Tunables read_tunables(const std::string& path) {
+    return parse_tunables(read_file(path), path);
 }
 
 }  // namespace cranemoor::config
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -46,9 +46,9 @@
         auto settings = cranemoor::config::read_settings(config);
         cranemoor::core::Tunables tunables;
         if (!operators.empty()) {
-            tunables = cranemoor::config::read_operators(operators);
+            tunables = cranemoor::config::read_tunables(operators);
         }
-        cranemoor::config::check(settings, tunables);
+        cranemoor::config::validate_tunables(settings, tunables);
         if (check) {
             std::puts("settings are valid");
             return 0;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -58,7 +58,7 @@
 
 std::string operators_error(const std::string& text) {
     try {
-        parse_operators(text, "o.xml");
+        parse_tunables(text, "o.xml");
     } catch (const Error& e) {
         return e.what();
     }
@@ -66,7 +66,7 @@
 }
 
 TEST(Operators, ElementsAreReadAndRangeChecked) {
-    auto t = parse_operators("<cranemoor><locality-wait-s>7.5</locality-wait-s></cranemoor>", "o");
+    auto t = parse_tunables("<cranemoor><locality-wait-s>7.5</locality-wait-s></cranemoor>", "o");
     EXPECT_EQ(t.locality_wait_s, 7.5);
     EXPECT_EQ(t.worker_timeout_s, core::Tunables().worker_timeout_s);
     EXPECT_NE(operators_error("<cranemoor>\n<silence-s>1</silence-s></cranemoor>").find("line 2"),
@@ -78,11 +78,11 @@
     core::Settings settings;
     settings.heartbeat_interval_s = 8;
     core::Tunables tunables;
-    EXPECT_NO_THROW(check(settings, tunables));  // unset: it follows the settings
+    EXPECT_NO_THROW(validate_tunables(settings, tunables));  // unset: it follows the settings
     tunables.worker_timeout_s = 30;
-    EXPECT_NO_THROW(check(settings, tunables));
+    EXPECT_NO_THROW(validate_tunables(settings, tunables));
     tunables.worker_timeout_s = 9;
-    EXPECT_THROW(check(settings, tunables), Error);
+    EXPECT_THROW(validate_tunables(settings, tunables), Error);
 }
 
 TEST(Operators, AnUnknownElementIsAnErrorThatNamesItsLine) {
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -285,7 +285,7 @@
         SCOPED_TRACE(seed);
         Draw draw(seed);
         try {
-            auto t = config::parse_operators(draw.damaged(good), "o.xml");
+            auto t = config::parse_tunables(draw.damaged(good), "o.xml");
             EXPECT_TRUE(t.locality_wait_s >= 0 && t.locality_wait_s <= 600);
             EXPECT_TRUE(t.final_states_max >= 0 && t.final_states_max <= 100000);
         } catch (const config::Error& e) {
