--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-constexpr double timer_s_least = 0.001;  // so that a timer never fires before its budget is there
+constexpr double timer_delay_min_s = 0.001;  // a timer must not fire before tokens are available
 
 }  // namespace
 
-CloudClient::CloudClient(Loop& loop, const core::Settings& settings, Done done)
-    : done_(std::move(done)),
+CloudClient::CloudClient(Loop& loop, const core::Settings& settings, Callback callback)
+    : callback_(std::move(callback)),
       client_(loop, settings.cloud_address, constants::cloud_connections_max,
               constants::cloud_response_bytes_max),
-      budget_(settings.cloud_requests_per_s * constants::cloud_request_share,
-              settings.cloud_requests_per_s * constants::cloud_request_share),
+      request_bucket_(settings.cloud_requests_per_s * constants::cloud_request_share,
+                      settings.cloud_requests_per_s * constants::cloud_request_share),
       timer_(loop, [this] { send_queued(); }) {}
 
 void CloudClient::call(core::CloudCall call) {
-    // Releases free capacity that others wait for.
+    // Releases free capacity that other calls wait for.
     if (call.kind == core::CloudCall::Kind::release) {
         queue_.push_front(std::move(call));
     } else {
@@ -36,14 +36,14 @@
 
 void CloudClient::send_queued() {
     double now = Loop::now().steady;
-    while (!queue_.empty() && budget_.can_take(now, 1)) {
-        budget_.take(1);
+    while (!queue_.empty() && request_bucket_.can_take(now, 1)) {
+        request_bucket_.take(1);
         core::CloudCall call = std::move(queue_.front());
         queue_.pop_front();
         send(call);
     }
     if (!queue_.empty()) {
-        timer_.start(std::max(timer_s_least, budget_.wait_s(now, 1)));
+        timer_.start(std::max(timer_delay_min_s, request_bucket_.wait_s(now, 1)));
     }
 }
 
@@ -56,7 +56,7 @@
                             reply =
                                 wire::decode_cloud_reply(call, response->status, response->body);
                         }
-                        done_(call.id, reply);
+                        callback_(call.id, reply);
                     });
 }
 
--- a/src/io/cloud_client.hpp
+++ b/src/io/cloud_client.hpp
@@ -1,4 +1,4 @@
-// Calls to the cloud's interface, within a budget below its limit.
+/// Client of the cloud API with a rate limiter below the cloud's limit.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 namespace cranemoor::io {
 
 /// Sends calls to the cloud in order, below the request limit of the settings (protocol,
-/// "Controller nodes -> cloud"). Releases go before all others.
+/// "Controller nodes -> cloud"). Releases are sent before all other calls.
 class CloudClient {
   public:
-    /// Called once for each call, with its id and the reply.
-    using Done = std::function<void(std::uint64_t id, const core::CloudReply&)>;
+    /// Called once per call, with its id and the reply.
+    using Callback = std::function<void(std::uint64_t id, const core::CloudReply&)>;
 
-    /// `done` may make further calls.
-    CloudClient(Loop& loop, const core::Settings& settings, Done done);
+    /// `callback` may make further calls.
+    CloudClient(Loop& loop, const core::Settings& settings, Callback callback);
 
-    /// Queues a call and sends it as soon as the budget allows.
+    /// Queues a call and sends it as soon as the rate limit allows.
     void call(core::CloudCall call);
 
   private:
     void send_queued();
     void send(const core::CloudCall& call);
 
-    Done done_;
+    Callback callback_;
     HttpClient client_;
-    core::TokenBucket budget_;
+    core::TokenBucket request_bucket_;
     std::deque<core::CloudCall> queue_;
     Timer timer_;
 };
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -27,16 +27,16 @@
       peer_server_(
           loop, settings.peer_listen_address, constants::peer_server_connections_max,
           [this](std::uint64_t request, HttpMessage&& message) { serve_peer(request, message); }),
-      store_(loop, settings,
-             [this](std::uint64_t call, const core::StoreReply& reply) {
-                 controller_.store_reply(Loop::now(), call, reply);
-                 perform_actions();
-             }),
-      cloud_(loop, settings,
-             [this](std::uint64_t call, const core::CloudReply& reply) {
-                 controller_.cloud_reply(Loop::now(), call, reply);
-                 perform_actions();
-             }),
+      store_client_(loop, settings,
+                    [this](std::uint64_t call, const core::StoreReply& reply) {
+                        controller_.store_reply(Loop::now(), call, reply);
+                        perform_actions();
+                    }),
+      cloud_client_(loop, settings,
+                    [this](std::uint64_t call, const core::CloudReply& reply) {
+                        controller_.cloud_reply(Loop::now(), call, reply);
+                        perform_actions();
+                    }),
       tick_timer_(loop,
                   [this] {
                       controller_.tick(Loop::now());
@@ -44,7 +44,7 @@
                   }),
       prune_timer_(loop, [this] { prune_worker_clients(); }) {
     for (const auto& peer : settings.peers) {
-        peers_[peer.name] =
+        peer_clients_[peer.name] =
             std::make_unique<HttpClient>(loop, peer.address, constants::peer_client_connections_max,
                                          constants::peer_response_bytes_max);
     }
@@ -58,7 +58,7 @@
                        constants::worker_client_prune_interval_s);
 }
 
-// --- requests of users and workers
+// --- requests from users and workers
 
 void Gateway::serve_client(std::uint64_t request, const HttpMessage& message) {
     std::string path = message.target.substr(0, message.target.find('?'));
@@ -102,14 +102,14 @@
     perform_actions();
 }
 
-// A poll or a cancellation of one job.
+// Serves a status poll or a cancellation of one job.
 void Gateway::serve_job(std::uint64_t request, const std::string& method, const std::string& path) {
     core::Now now = Loop::now();
     wire::JobPath job = wire::parse_job_path(path);
     if (method != (job.is_cancellation ? "POST" : "GET")) {
         client_server_.reply(request, http_status::method_not_allowed, "");
     } else if (!wire::is_valid_uid(job.uid)) {
-        // Nothing can have been accepted under such a name.
+        // No job can have been accepted under an invalid uid.
         client_server_.reply(request, http_status::not_found, "");
     } else if (job.is_cancellation) {
         controller_.cancel(now, request, job.uid);
@@ -119,7 +119,7 @@
     perform_actions();
 }
 
-// A path that is unknown, or was not asked for with its method.
+// Rejects an unknown path, or a known path with the wrong method.
 void Gateway::serve_unrouted(std::uint64_t request, const std::string& path) {
     bool is_known =
         path == wire::health_path || path == wire::heartbeat_path || path == wire::submission_path;
@@ -128,7 +128,7 @@
     perform_actions();
 }
 
-// --- requests of the other controllers
+// --- requests from the other controllers
 
 void Gateway::serve_peer(std::uint64_t request, const HttpMessage& message) {
     if (message.method != "POST" || message.target != wire::peer_path) {
@@ -153,31 +153,32 @@
 // --- the controller's actions
 
 void Gateway::perform_actions() {
-    if (performing_) {
-        return;  // the outer call goes on until nothing is left
+    if (is_performing_) {
+        return;  // the outer call continues until no action is left
     }
-    performing_ = true;
+    is_performing_ = true;
     while (true) {
         auto actions = controller_.take();
         if (actions.empty()) {
             break;
         }
         for (const auto& action : actions) {
-            std::visit([this](const auto& each) { this->perform(each); }, action);
+            std::visit([this](const auto& typed_action) { this->perform(typed_action); }, action);
         }
     }
-    performing_ = false;
+    is_performing_ = false;
 }
 
 void Gateway::perform(const core::UserReply& reply) {
-    // With 503 the connection is closed, so that the load balancer picks a controller anew.
+    // A 503 closes the connection, so that the load balancer can choose another controller for the
+    // next request.
     bool refused = reply.status == http_status::service_unavailable;
     client_server_.reply(reply.request, reply.status, wire::encode_user_reply(reply),
                          refused ? reply.retry_after_s : 0, refused, sockets::ClientKind::user);
 }
 
 void Gateway::perform(const core::WorkerReply& reply) {
-    if (peer_server_.knows(reply.request)) {
+    if (peer_server_.is_pending(reply.request)) {
         peer_server_.reply(reply.request, http_status::ok, wire::encode_peer_reply(reply));
     } else {
         client_server_.reply(reply.request, reply.status, wire::encode_worker_reply(reply), 0,
@@ -186,11 +187,11 @@
 }
 
 void Gateway::perform(const core::StoreCall& call) {
-    store_.call(call);
+    store_client_.call(call);
 }
 
 void Gateway::perform(const core::CloudCall& call) {
-    cloud_.call(call);
+    cloud_client_.call(call);
 }
 
 void Gateway::perform(const core::WorkerCommandCall& call) {
@@ -214,8 +215,8 @@
 }
 
 void Gateway::perform(const core::PeerCall& call) {
-    auto peer = peers_.find(call.peer);
-    if (peer == peers_.end()) {
+    auto peer = peer_clients_.find(call.peer);
+    if (peer == peer_clients_.end()) {
         controller_.peer_reply(Loop::now(), call.id, false, std::nullopt);
         return;
     }
@@ -252,7 +253,7 @@
 // --- connections to workers
 
 HttpClient& Gateway::worker_client(const std::string& address) {
-    auto& client = workers_[address];
+    auto& client = worker_clients_[address];
     if (!client) {
         client =
             std::make_unique<HttpClient>(loop_, address, constants::worker_client_connections_max,
@@ -261,17 +262,17 @@
     return *client;
 }
 
-// Connections to workers are kept for the next command, unless they are many: after a failover
-// there is one to each machine, and the sockets are needed for heartbeats.
+// Connections to workers are kept open for the next command up to a limit: after a failover there
+// is one to each machine, and the sockets are needed for heartbeats.
 void Gateway::prune_worker_clients() {
     double now = Loop::now().steady;
     auto clients_max =
         static_cast<std::size_t>(settings_.max_connections * constants::worker_clients_share);
-    for (auto it = workers_.begin(); it != workers_.end();) {
+    for (auto it = worker_clients_.begin(); it != worker_clients_.end();) {
         const HttpClient& client = *it->second;
-        bool is_surplus = workers_.size() > clients_max && !client.busy();
+        bool is_surplus = worker_clients_.size() > clients_max && !client.busy();
         bool is_idle = now - client.last_used() > constants::worker_client_idle_timeout_s;
-        it = is_surplus || is_idle ? workers_.erase(it) : std::next(it);
+        it = is_surplus || is_idle ? worker_clients_.erase(it) : std::next(it);
     }
 }
 
--- a/src/io/gateway.hpp
+++ b/src/io/gateway.hpp
@@ -1,5 +1,5 @@
-// Gateway: the sockets and timers around one controller. It turns messages into the core's inputs
-// and the core's actions into messages.
+/// Sockets and timers that drive one controller: translates messages into the core's inputs and the
+/// core's actions into messages.
 #pragma once
 
 #include <cstdint>
@@ -17,27 +17,27 @@
 namespace cranemoor::io {
 
 /// Connects one controller to users, workers, the other controllers, the key-value store and the
-/// cloud. All runs on the thread of the loop.
+/// cloud. All work runs on the thread of the event loop.
 class Gateway {
   public:
-    /// Listens on the addresses of the settings; throws `std::runtime_error` if it can't.
+    /// Listens on the addresses in the settings; throws `std::runtime_error` if it cannot.
     Gateway(Loop& loop, const core::Settings& settings, core::Controller& controller);
 
     /// Starts the controller and its timers.
     void start();
 
   private:
-    // Requests of users and workers.
+    // Requests from users and workers.
     void serve_client(std::uint64_t request, const HttpMessage& message);
     void serve_health(std::uint64_t request);
     void serve_heartbeat(std::uint64_t request, const std::string& body);
     void serve_submission(std::uint64_t request, const std::string& body);
     void serve_job(std::uint64_t request, const std::string& method, const std::string& path);
     void serve_unrouted(std::uint64_t request, const std::string& path);
-    // Requests of the other controllers.
+    // Requests from the other controllers.
     void serve_peer(std::uint64_t request, const HttpMessage& message);
 
-    // Performs all actions that the controller has asked for.
+    // Performs the controller's pending actions until none is left.
     void perform_actions();
     void perform(const core::UserReply& reply);
     void perform(const core::WorkerReply& reply);
@@ -57,13 +57,13 @@
     core::Controller& controller_;
     HttpServer client_server_;
     HttpServer peer_server_;
-    StoreClient store_;
-    CloudClient cloud_;
-    std::map<std::string, std::unique_ptr<HttpClient>> peers_;    // by name
-    std::map<std::string, std::unique_ptr<HttpClient>> workers_;  // by address
+    StoreClient store_client_;
+    CloudClient cloud_client_;
+    std::map<std::string, std::unique_ptr<HttpClient>> peer_clients_;    // by name
+    std::map<std::string, std::unique_ptr<HttpClient>> worker_clients_;  // by address
     Timer tick_timer_;
     Timer prune_timer_;
-    bool performing_ = false;  // guards against recursion
+    bool is_performing_ = false;  // prevents recursion through callbacks
 };
 
 }  // namespace cranemoor::io
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t read_bytes = 16384;  // at most, with one call
-constexpr double timeout_s_least = 0.001;  // so that no timer is set to the past
+constexpr std::size_t read_bytes_max = 16384;  // per recv() call
+constexpr double timeout_min_s = 0.001;        // a timer must not be set to a past time
 
 bool is_temporary(int error) {
     return error == EAGAIN || error == EINTR;
@@ -21,23 +21,23 @@
 }  // namespace
 
 HttpClient::HttpClient(Loop& loop, std::string address, std::size_t connections_max,
-                       std::size_t body_max)
+                       std::size_t body_bytes_max)
     : loop_(loop),
       address_(std::move(address)),
       connections_max_(connections_max),
-      body_max_(body_max),
+      body_bytes_max_(body_bytes_max),
       queue_timer_(loop, [this] { expire_queued(); }) {}
 
 HttpClient::~HttpClient() = default;
 
 void HttpClient::request(const std::string& method, const std::string& target,
-                         const std::string& body, double timeout_s, Done done) {
+                         const std::string& body, double timeout_s, Callback callback) {
     auto call = std::make_unique<Call>();
     call->method = method;
     call->target = target;
     call->body = body;
     call->deadline = Loop::now().steady + timeout_s;
-    call->done = std::move(done);
+    call->callback = std::move(callback);
     last_used_ = Loop::now().steady;
     queue_.push_back(std::move(call));
     send_queued();
@@ -51,15 +51,16 @@
 
 // --- the queue
 
-// Sends queued calls while connections are free or can be opened, and sets the timer for the rest.
+// Sends queued calls while connections are idle or can be opened, and sets the expiry timer for the
+// rest.
 void HttpClient::send_queued() {
     while (!queue_.empty()) {
-        std::optional<std::uint64_t> id = free_connection();
+        std::optional<std::uint64_t> id = find_idle_connection();
         if (!id && connections_.size() < connections_max_) {
             id = open_connection();
             if (!id && connections_.empty()) {
-                // No socket to be had, and none that will become free: all calls fail, from the
-                // loop, since no callback may come from inside request().
+                // No socket is available and none will become idle: all calls fail. They fail from
+                // the event loop, because request() must never invoke a callback itself.
                 queue_timer_.start(0);
                 return;
             }
@@ -77,7 +78,7 @@
     }
 }
 
-std::optional<std::uint64_t> HttpClient::free_connection() const {
+std::optional<std::uint64_t> HttpClient::find_idle_connection() const {
     for (const auto& [id, connection] : connections_) {
         if (!connection->call) {
             return id;
@@ -91,21 +92,21 @@
     if (fd < 0) {
         return std::nullopt;
     }
-    std::uint64_t id = ++last_connection_;
-    auto connection = std::make_unique<Connection>(body_max_);
+    std::uint64_t id = ++last_connection_id_;
+    auto connection = std::make_unique<Connection>(body_bytes_max_);
     connection->descriptor = std::make_unique<Descriptor>(
         loop_, fd, [this, id](int events) { handle_events(id, events); });
     connections_[id] = std::move(connection);
     return id;
 }
 
-// Ends the queued calls whose time is over; without any connection all of them.
+// Fails the queued calls whose deadline has passed, or all of them if no connection is open.
 void HttpClient::expire_queued() {
     double now = Loop::now().steady;
-    bool no_socket = connections_.empty();
+    bool no_connection = connections_.empty();
     std::deque<std::unique_ptr<Call>> expired;
     for (auto it = queue_.begin(); it != queue_.end();) {
-        if (no_socket || (*it)->deadline <= now) {
+        if (no_connection || (*it)->deadline <= now) {
             expired.push_back(std::move(*it));
             it = queue_.erase(it);
         } else {
@@ -113,7 +114,7 @@
         }
     }
     for (auto& call : expired) {
-        call->done(nullptr);
+        call->callback(nullptr);
     }
     send_queued();
 }
@@ -125,7 +126,7 @@
     connection.output = http_request(call->method, call->target, address_, call->body);
     connection.response_has_begun = false;
     connection.timer = std::make_unique<Timer>(loop_, [this, id] { finish(id, nullptr, false); });
-    connection.timer->start(std::max(timeout_s_least, call->deadline - Loop::now().steady));
+    connection.timer->start(std::max(timeout_min_s, call->deadline - Loop::now().steady));
     connection.call = std::move(call);
     connection.descriptor->watch(EV_READ | EV_WRITE);
 }
@@ -162,10 +163,10 @@
 }
 
 bool HttpClient::read(std::uint64_t id, Connection& connection) {
-    std::array<char, read_bytes> bytes{};
+    std::array<char, read_bytes_max> bytes{};
     ssize_t size = ::recv(connection.descriptor->fd(), bytes.data(), bytes.size(), 0);
     if (size < 0 && is_temporary(errno)) {
-        return false;  // watched as before
+        return false;  // the watched events stay unchanged
     }
     HttpParser::State state = HttpParser::State::bad;
     if (size > 0) {
@@ -180,7 +181,7 @@
         finish(id, &response, response.keep_alive && size > 0);
         return false;
     }
-    if (state != HttpParser::State::more) {
+    if (state != HttpParser::State::incomplete) {
         fail(id);
         return false;
     }
@@ -189,11 +190,12 @@
 
 void HttpClient::fail(std::uint64_t id) {
     Connection& connection = *connections_.at(id);
-    // A kept connection that the other side closed just as it was used: sent once more, on a new
-    // one. The first may have been executed all the same, so only GETs are repeated.
-    bool was_closed_unused =
+    // The server closed a keep-alive connection just as it was reused: the call is retried once, on
+    // another connection. The first request may have been executed nevertheless, so only GETs are
+    // retried.
+    bool was_stale_connection =
         connection.call && !connection.is_new && !connection.response_has_begun;
-    if (was_closed_unused && !connection.call->is_retry && connection.call->method == "GET") {
+    if (was_stale_connection && !connection.call->is_retry && connection.call->method == "GET") {
         auto call = std::move(connection.call);
         call->is_retry = true;
         connections_.erase(id);
@@ -216,7 +218,7 @@
         connections_.erase(id);
     }
     if (call) {
-        call->done(response);
+        call->callback(response);
     }
     send_queued();
 }
--- a/src/io/http_parser.cpp
+++ b/src/io/http_parser.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t length_digits_max = 12;  // of a content length, so that it never overflows
+constexpr std::size_t content_length_digits_max = 12;  // keeps the parsed length from overflowing
 
-// RFC 9110, section 5.6.2.
+// A `tchar` of RFC 9110, section 5.6.2.
 bool is_token_char(char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
@@ -36,7 +36,7 @@
     return text;
 }
 
-// Whether a comma-separated list contains an element, in lower case.
+// Whether a comma-separated list contains an element, ignoring case. `element` is in lower case.
 bool list_contains(const std::string& list, std::string_view element) {
     std::string text = to_lower(list);
     std::size_t begin = 0;
@@ -102,7 +102,7 @@
         case Stage::too_large:
             return State::too_large;
         default:
-            return State::more;
+            return State::incomplete;
     }
 }
 
@@ -112,21 +112,21 @@
 }
 
 HttpMessage HttpParser::take() {
-    HttpMessage done = std::move(message_);
+    HttpMessage message = std::move(message_);
     message_ = HttpMessage();
     stage_ = Stage::start;
     head_bytes_ = 0;
     expects_continue_ = false;
-    return done;
+    return message;
 }
 
 bool HttpParser::wants_continue() {
-    bool now =
+    bool is_waiting =
         expects_continue_ && stage_ == Stage::body && message_.body.empty() && buffer_.empty();
-    if (now) {
+    if (is_waiting) {
         expects_continue_ = false;
     }
-    return now;
+    return is_waiting;
 }
 
 HttpParser::State HttpParser::end() {
@@ -136,37 +136,38 @@
     return state();
 }
 
-// The next line without its end; false if it isn't whole yet.
+// Reads the next line into `out` without its line terminator. Returns false if the line is
+// incomplete or the limit on header bytes is exceeded.
 bool HttpParser::next_line(std::string& out) {
     std::size_t end = buffer_.find('\n');
-    std::size_t seen = end == std::string::npos ? buffer_.size() : end + 1;
-    if (head_bytes_ + seen > constants::head_bytes_max) {
+    std::size_t line_bytes = end == std::string::npos ? buffer_.size() : end + 1;
+    if (head_bytes_ + line_bytes > constants::head_bytes_max) {
         stage_ = Stage::bad;
         return false;
     }
     if (end == std::string::npos) {
         return false;
     }
-    head_bytes_ += seen;
+    head_bytes_ += line_bytes;
     out = buffer_.substr(0, end > 0 && buffer_[end - 1] == '\r' ? end - 1 : end);
     buffer_.erase(0, end + 1);
     return true;
 }
 
 bool HttpParser::parse_start_line(const std::string& text) {
-    auto first = text.find(' ');
-    if (first == std::string::npos) {
+    auto first_space = text.find(' ');
+    if (first_space == std::string::npos) {
         return false;
     }
     std::string version;
     if (role_ == Role::request) {
-        auto second = text.find(' ', first + 1);
-        if (second == std::string::npos) {
+        auto second_space = text.find(' ', first_space + 1);
+        if (second_space == std::string::npos) {
             return false;
         }
-        message_.method = text.substr(0, first);
-        message_.target = text.substr(first + 1, second - first - 1);
-        version = text.substr(second + 1);
+        message_.method = text.substr(0, first_space);
+        message_.target = text.substr(first_space + 1, second_space - first_space - 1);
+        version = text.substr(second_space + 1);
         if (message_.method.empty() || message_.target.empty() ||
             !std::all_of(message_.method.begin(), message_.method.end(), is_token_char) ||
             std::any_of(message_.target.begin(), message_.target.end(),
@@ -174,8 +175,8 @@
             return false;
         }
     } else {
-        version = text.substr(0, first);
-        std::string code = text.substr(first + 1, 3);
+        version = text.substr(0, first_space);
+        std::string code = text.substr(first_space + 1, 3);
         if (code.size() != 3 || !std::all_of(code.begin(), code.end(), [](unsigned char c) {
                 return std::isdigit(c) != 0;
             })) {
@@ -194,7 +195,7 @@
     }
     std::string name = text.substr(0, colon);
     if (!std::all_of(name.begin(), name.end(), is_token_char)) {
-        return false;  // also a folded line, which begins with a blank
+        return false;  // also rejects folded lines (obs-fold), which begin with white space
     }
     std::string value = trim(std::string_view(text).substr(colon + 1));
     if (std::any_of(value.begin(), value.end(),
@@ -205,7 +206,8 @@
     return true;
 }
 
-// Reads the headers that frame the body. False if they contradict each other.
+// Reads the headers that determine the length of the body. Returns false if they contradict each
+// other.
 bool HttpParser::read_framing(Framing& framing) {
     message_.keep_alive = !is_http_1_0_;
     for (const auto& [name, value] : message_.headers) {
@@ -221,7 +223,7 @@
             }
             framing.is_chunked = true;
         } else if (name == "content-length") {
-            // Two lengths that differ are how one message is smuggled inside another.
+            // Two different lengths are a sign of request smuggling.
             if (framing.length != nullptr && *framing.length != value) {
                 return false;
             }
@@ -233,7 +235,7 @@
     return !framing.is_chunked || framing.length == nullptr;
 }
 
-// The stage after the headers.
+// The stage that follows the headers.
 HttpParser::Stage HttpParser::body_stage(const Framing& framing) {
     bool is_response = role_ == Role::response;
     if (is_response &&
@@ -250,7 +252,7 @@
     if (length.empty() || !is_digits(length)) {
         return Stage::bad;
     }
-    if (length.size() > length_digits_max || std::stoull(length) > body_max_) {
+    if (length.size() > content_length_digits_max || std::stoull(length) > body_bytes_max_) {
         return Stage::too_large;
     }
     remaining_ = std::stoull(length);
@@ -268,8 +270,8 @@
     return state();
 }
 
-// Processes what the current stage can use of the buffer. False if it needs more bytes, or if the
-// message has come to its end.
+// Processes the part of the buffer that the current stage can use. Returns false if it needs more
+// bytes or the message has ended.
 bool HttpParser::advance_stage() {
     switch (stage_) {
         case Stage::start:
@@ -291,26 +293,26 @@
             take_until_close();
             return false;
         case Stage::complete:
-            // Guards against a sender that goes on while its request is being answered: what waits
-            // here is never more than one more request may be.
-            if (buffer_.size() > constants::head_bytes_max + body_max_) {
+            // Guards against a client that keeps sending while its request is being served: at most
+            // one more request of the maximum size is buffered.
+            if (buffer_.size() > constants::head_bytes_max + body_bytes_max_) {
                 stage_ = Stage::too_large;
                 return true;
             }
             return false;
         case Stage::bad:
         case Stage::too_large:
-            buffer_.clear();  // nothing of it will be read
+            buffer_.clear();  // the rest is never parsed
             return false;
     }
     return false;
 }
 
-// A whole line, in one of the stages that consist of lines.
+// Handles a complete line in one of the line-based stages.
 void HttpParser::parse_line(const std::string& line) {
     switch (stage_) {
         case Stage::start:
-            // A stray line end before a request is tolerated.
+            // An empty line before a request is tolerated (RFC 9112, section 2.2).
             if (!line.empty() || role_ == Role::response) {
                 stage_ = parse_start_line(line) ? Stage::headers : Stage::bad;
             }
@@ -339,7 +341,7 @@
     }
 }
 
-// The size in hexadecimal digits, and extensions behind a semicolon, which are ignored.
+// Parses the size in hexadecimal digits; chunk extensions after a semicolon are ignored.
 void HttpParser::parse_chunk_size(const std::string& line) {
     std::string digits = trim(line.substr(0, line.find(';')));
     bool is_valid = !digits.empty() && digits.size() <= constants::chunk_size_digits_max &&
@@ -350,14 +352,14 @@
         return;
     }
     remaining_ = std::stoul(digits, nullptr, 16);
-    if (message_.body.size() + remaining_ > body_max_) {
+    if (message_.body.size() + remaining_ > body_bytes_max_) {
         stage_ = Stage::too_large;
     } else {
         stage_ = remaining_ == 0 ? Stage::trailers : Stage::chunk;
     }
 }
 
-// Moves bytes of known number to the body. False if some of them are still to come.
+// Moves up to `remaining_` bytes to the body. Returns false if some are still outstanding.
 bool HttpParser::take_body() {
     std::size_t size = std::min(remaining_, buffer_.size());
     message_.body.append(buffer_, 0, size);
@@ -370,11 +372,11 @@
     return true;
 }
 
-// Moves all bytes to a body that ends with the connection.
+// Moves all buffered bytes to a body that is delimited by the close of the connection.
 void HttpParser::take_until_close() {
     message_.body += buffer_;
     buffer_.clear();
-    if (message_.body.size() > body_max_) {
+    if (message_.body.size() > body_bytes_max_) {
         stage_ = Stage::too_large;
     }
     message_.keep_alive = false;
--- a/src/io/http_parser.hpp
+++ b/src/io/http_parser.hpp
@@ -1,5 +1,5 @@
-// An incremental HTTP/1.1 parser for requests and responses: fed with bytes as they come, it yields
-// one message at a time and never buffers more than its limits.
+/// Incremental HTTP/1.1 parser for requests and responses. It yields one message at a time from the
+/// bytes received so far and never buffers more than its limits.
 #pragma once
 
 #include <cstddef>
@@ -10,44 +10,47 @@
 
 namespace cranemoor::io {
 
-/// One request or response.
+/// A request or response.
 struct HttpMessage {
-    std::string method;  ///< of a request
-    std::string target;  ///< of a request: path and query
-    int status = 0;      ///< of a response
+    std::string method;  ///< requests only
+    std::string target;  ///< requests only: path and query
+    int status = 0;      ///< responses only
 
     std::vector<std::pair<std::string, std::string>> headers;  ///< names in lower case
     std::string body;
-    bool keep_alive = true;  ///< whether the connection stays open behind it
+    bool keep_alive = true;  ///< whether the connection stays open after it
 
-    /// The value of the first header with this name, in lower case; nullptr if there is none.
+    /// The value of the first header with this name, or nullptr. `name` is in lower case.
     const std::string* header(std::string_view name) const;
 };
 
 /// Parses the messages of one connection (RFC 9112). Limits: `constants::head_bytes_max` bytes of
-/// start line, headers and trailers, and `body_max` bytes of body.
+/// start line, headers and trailers, and `body_bytes_max` bytes of body.
 class HttpParser {
   public:
-    /// Which kind of messages it parses.
+    /// The kind of messages to parse.
     enum class Role { request, response };
-    /// How far the message is.
-    enum class State { more, complete, bad, too_large };
+    /// Progress of the current message.
+    enum class State { incomplete, complete, bad, too_large };
 
-    /// `body_max` is in bytes.
-    HttpParser(Role role, std::size_t body_max) : role_(role), body_max_(body_max) {}
+    /// `body_bytes_max` limits the body of each message.
+    HttpParser(Role role, std::size_t body_bytes_max)
+        : role_(role), body_bytes_max_(body_bytes_max) {}
 
-    /// Takes bytes and returns how far the message is. After `complete`, `take()` yields it and the
-    /// parser goes on with what came behind it.
+    /// Parses more bytes and returns the progress of the message. After `complete`, `take()`
+    /// returns the message and the next `feed()` continues with the bytes that followed it.
     State feed(std::string_view bytes);
-    /// The complete message.
+    /// Returns the complete message and resets the parser for the next one.
     HttpMessage take();
-    /// Whether nothing of a message has come.
+    /// Whether no byte of the next message has been received.
     bool idle() const { return stage_ == Stage::start && buffer_.empty(); }
-    /// The bytes held: of the message so far, and of what came behind it.
-    std::size_t held() const { return message_.body.size() + buffer_.size(); }
-    /// Whether the client waits for "100 Continue" before it sends its body; true only once.
+    /// Bytes in memory: the body so far and the unparsed input.
+    std::size_t buffered_bytes() const { return message_.body.size() + buffer_.size(); }
+    /// Whether the client waits for "100 Continue" before it sends the body. Returns true only once
+    /// per request.
     bool wants_continue();
-    /// The peer closed: completes a response whose body ends with the connection.
+    /// Call when the peer has closed the connection: completes a response whose body is delimited
+    /// by the close.
     State end();
 
   private:
@@ -64,7 +67,7 @@
         bad,
         too_large
     };
-    // How the headers frame the body.
+    // Headers that determine the length of the body.
     struct Framing {
         bool is_chunked = false;
         const std::string* length = nullptr;
@@ -85,21 +88,21 @@
     State state() const;
 
     Role role_;
-    std::size_t body_max_;
+    std::size_t body_bytes_max_;
     Stage stage_ = Stage::start;
     std::string buffer_;
-    std::size_t head_bytes_ = 0;  // of start line and headers, or of the lines around chunks
-    std::size_t remaining_ = 0;   // bytes still to come of the body or chunk
+    std::size_t head_bytes_ = 0;  // of start line and headers, or of the chunk framing lines
+    std::size_t remaining_ = 0;   // bytes of the body or chunk not yet received
     bool expects_continue_ = false;
     bool is_http_1_0_ = false;
     HttpMessage message_;
 };
 
-/// The bytes of a request with a CBOR body. `host` is "host:port".
+/// Encodes a request with a CBOR body. `host` is "host:port".
 std::string http_request(const std::string& method, const std::string& target,
                          const std::string& host, const std::string& body);
 
-/// The bytes of a response with a CBOR body. `retry_after_s` of 0 gives no Retry-After header.
+/// Encodes a response with a CBOR body. A `retry_after_s` of 0 omits the Retry-After header.
 std::string http_response(int status, const std::string& body, bool keep_alive,
                           int retry_after_s = 0);
 
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr std::size_t read_bytes = 16384;  // at most, with one call
+constexpr std::size_t read_bytes_max = 16384;  // per recv() call
 constexpr const char* continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
-std::uint64_t last_request = 0;  // the ids are unique within the process
+std::uint64_t last_request_id = 0;  // request ids are unique within the process
 
 }  // namespace
 
@@ -61,9 +61,9 @@
 }
 
 void HttpServer::accept(int fd) {
-    int on = 1;
-    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    std::uint64_t id = ++next_connection_;
+    int enable = 1;
+    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
+    std::uint64_t id = ++last_connection_id_;
     auto connection = std::make_unique<Connection>();
     connection->descriptor = std::make_unique<Descriptor>(
         loop_, fd, [this, id](int events) { handle_events(id, events); });
@@ -74,14 +74,14 @@
 }
 
 void HttpServer::begin_request(std::uint64_t id, Connection& connection) {
-    incomplete_.erase({connection.request_began, id});
+    incomplete_.erase({connection.request_started, id});
     connection.awaits_request = true;
-    connection.request_began = Loop::now().steady;
-    incomplete_.insert({connection.request_began, id});
+    connection.request_started = Loop::now().steady;
+    incomplete_.insert({connection.request_started, id});
 }
 
 void HttpServer::complete_request(std::uint64_t id, Connection& connection) {
-    incomplete_.erase({connection.request_began, id});
+    incomplete_.erase({connection.request_started, id});
     connection.awaits_request = false;
 }
 
@@ -97,18 +97,19 @@
     }
 }
 
-// Closes one connection to make room for a new one. Guards against senders of incomplete requests,
-// who could hold every socket until their timeout while health checks find none: the oldest of
-// these is closed first. Otherwise an idle one is, in the order of the shedding policy: while two
-// of three controllers are out of service, all workers and users connect to this one.
+// Closes one connection to make room for a new one. Guards against clients that send incomplete
+// requests and could occupy every socket until their timeout, so that health checks fail: the
+// oldest incomplete request is closed first. Otherwise an idle connection is closed, in the order
+// of the shedding policy: while two of three controllers are out of service, all workers and users
+// connect to this one.
 bool HttpServer::shed_one() {
     double now = Loop::now().steady;
     if (!incomplete_.empty() &&
-        now - incomplete_.begin()->began >= constants::shed_incomplete_min_s) {
+        now - incomplete_.begin()->started >= constants::shed_incomplete_min_s) {
         close(incomplete_.begin()->id);
         return true;
     }
-    // The one idle for longest, of each rank.
+    // Considers the longest idle connection of each rank.
     for (auto it = idle_.begin(); it != idle_.end();
          it = idle_.lower_bound({it->shed_rank + 1, 0, 0})) {
         if (now - it->since >= constants::shed_idle_min_s) {
@@ -129,7 +130,7 @@
     if (connection.request != 0) {
         requests_.erase(connection.request);
     }
-    incomplete_.erase({connection.request_began, id});
+    incomplete_.erase({connection.request_started, id});
     connections_.erase(it);
 }
 
@@ -148,13 +149,14 @@
 
 bool HttpServer::is_timed_out(const Connection& connection, double now) {
     if (connection.request != 0 && connection.output.empty()) {
-        return false;  // it waits for our response
+        return false;  // the client is waiting for our response
     }
-    // A request has its time from its first byte: one more byte now and then buys none.
+    // The timeout of a request counts from its first byte, so that a client cannot extend it by
+    // trickling bytes.
     bool is_incomplete = connection.awaits_request && !connection.parser.idle();
     bool is_idle = !is_incomplete && connection.output.empty();
     double timeout_s = is_idle ? constants::idle_timeout_s : constants::request_timeout_s;
-    double since = is_incomplete ? connection.request_began : connection.last_active;
+    double since = is_incomplete ? connection.request_started : connection.last_active;
     return now - since > timeout_s;
 }
 
@@ -174,7 +176,7 @@
 }
 
 void HttpServer::read(std::uint64_t id, Connection& connection) {
-    std::array<char, read_bytes> bytes{};
+    std::array<char, read_bytes_max> bytes{};
     ssize_t size = ::recv(connection.descriptor->fd(), bytes.data(), bytes.size(), 0);
     if (size < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
@@ -186,7 +188,7 @@
     mark_active(id, connection);
     connection.last_active = Loop::now().steady;
     if (connection.is_closing) {
-        return;  // has had its last response; what still comes is not read
+        return;  // the last response is queued; further input is discarded
     }
     if (connection.request == 0 && connection.parser.idle()) {
         begin_request(id, connection);
@@ -197,10 +199,10 @@
 void HttpServer::process(std::uint64_t id, HttpParser::State state) {
     Connection& connection = *connections_.at(id);
     if (connection.request != 0) {
-        return;  // the next request waits for this one's response
+        return;  // pipelined requests wait for this one's response
     }
     switch (state) {
-        case HttpParser::State::more:
+        case HttpParser::State::incomplete:
             if (connection.parser.wants_continue()) {
                 connection.output += continue_response;
                 write(id, connection);
@@ -222,7 +224,7 @@
     HttpMessage message = connection.parser.take();
     complete_request(id, connection);
     connection.keep_alive = message.keep_alive;
-    connection.request = ++last_request;
+    connection.request = ++last_request_id;
     requests_[connection.request] = id;
     handler_(connection.request, std::move(message));
 }
@@ -237,7 +239,7 @@
                        int retry_after_s, bool close, sockets::ClientKind client) {
     auto it = requests_.find(request);
     if (it == requests_.end()) {
-        return;  // the client has gone
+        return;  // the client has disconnected
     }
     std::uint64_t id = it->second;
     requests_.erase(it);
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server on one address. One request at a time per connection; responses may come later
-// and in any order between connections.
+/// HTTP/1.1 server on one address. Each connection has one request in progress at a time; responses
+/// are asynchronous and may be sent in any order across connections.
 #pragma once
 
 #include <cstdint>
@@ -18,30 +18,30 @@
 
 namespace cranemoor::io {
 
-/// Serves requests through a handler and sheds connections when they run short
-/// (sockets/connection_shedding.hpp).
+/// Passes requests to a handler and closes idle connections when the limit on connections is
+/// reached (sockets/connection_shedding.hpp).
 class HttpServer {
   public:
-    /// Called with each whole request and the id by which to reply; ids are unique within the
-    /// process. It may reply at once or later.
+    /// Called with each complete request and the id to pass to `reply()`; ids are unique within the
+    /// process. The handler may reply immediately or later.
     using Handler = std::function<void(std::uint64_t request, HttpMessage&& message)>;
 
-    /// Listens on `address` ("host:port") with at most `connections_max` connections. Throws
-    /// `std::runtime_error` if it can't listen.
+    /// Listens on `address` (IPv4, "host:port") with at most `connections_max` connections. Throws
+    /// `std::runtime_error` if it cannot listen.
     HttpServer(Loop& loop, const std::string& address, std::size_t connections_max,
                Handler handler);
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    /// Responds to a request; does nothing if its connection has gone. `retry_after_s` of 0 gives
-    /// no Retry-After header, `close` ends the connection, and `client` decides how long it is
-    /// kept.
+    /// Responds to a request; does nothing if its connection has closed. A `retry_after_s` of 0
+    /// omits the Retry-After header, `close` closes the connection afterwards, and `client` selects
+    /// the shedding policy of the connection.
     void reply(std::uint64_t request, int status, const std::string& body, int retry_after_s = 0,
                bool close = false, sockets::ClientKind client = sockets::ClientKind::unknown);
-    /// Whether a request of this server waits for its response.
-    bool knows(std::uint64_t request) const { return requests_.contains(request); }
-    /// How many connections are open.
+    /// Whether a request of this server still awaits its response.
+    bool is_pending(std::uint64_t request) const { return requests_.contains(request); }
+    /// Number of open connections.
     std::size_t connections() const { return connections_.size(); }
 
   private:
@@ -50,15 +50,15 @@
         Connection() : parser(HttpParser::Role::request, core::constants::request_body_bytes_max) {}
         std::unique_ptr<Descriptor> descriptor;
         HttpParser parser;
-        std::string output;         // still to be sent
-        std::uint64_t request = 0;  // being served; 0: none
+        std::string output;         // not yet sent
+        std::uint64_t request = 0;  // id of the request in progress; 0: none
         bool keep_alive = true;
-        bool is_closing = false;     // closed as soon as the output is sent
-        double last_active = 0;      // when bytes last went either way
-        double request_began = 0;    // when the request that is still incomplete began
-        bool awaits_request = true;  // a request has begun, or is the first
-        int shed_rank = 0;           // of its last response, see sockets::ShedPolicy
-        bool is_idle = false;        // has its response, and nothing new has begun
+        bool is_closing = false;     // close once the output is sent
+        double last_active = 0;      // when bytes were last sent or received
+        double request_started = 0;  // start of the incomplete request, or the time of accept
+        bool awaits_request = true;  // a request is incomplete, or the first has not arrived
+        int shed_rank = 0;           // set by the last response, see sockets::ShedPolicy
+        bool is_idle = false;        // the last response is queued and no new request has started
     };
 
     void accept_batch();
@@ -68,7 +68,7 @@
     void process(std::uint64_t id, HttpParser::State state);
     void dispatch(std::uint64_t id, Connection& connection);
     void reject(std::uint64_t id, Connection& connection, int status);
-    // Sends what it can. False: the connection is gone.
+    // Sends as much as the socket accepts. Returns false if the connection was closed.
     bool write(std::uint64_t id, Connection& connection);
     void close(std::uint64_t id);
     void close_timed_out();
@@ -80,7 +80,7 @@
     void mark_active(std::uint64_t id, Connection& connection);
     bool shed_one();
 
-    // Idle connections by rank, then by the time since when, in the order in which they are shed.
+    // Key of an idle connection, in shedding order: by rank, then by the start of the idle time.
     struct IdleConnection {
         int shed_rank = 0;
         double since = 0;
@@ -89,12 +89,12 @@
             return std::tie(a.shed_rank, a.since, a.id) < std::tie(b.shed_rank, b.since, b.id);
         }
     };
-    // Connections with an incomplete request, by the time when it began.
+    // Key of a connection with an incomplete request, ordered by the start of the request.
     struct IncompleteRequest {
-        double began = 0;
+        double started = 0;
         std::uint64_t id = 0;
         friend bool operator<(const IncompleteRequest& a, const IncompleteRequest& b) {
-            return std::tie(a.began, a.id) < std::tie(b.began, b.id);
+            return std::tie(a.started, a.id) < std::tie(b.started, b.id);
         }
     };
 
@@ -103,9 +103,9 @@
     Handler handler_;
     std::unique_ptr<Descriptor> listener_;
     Timer timeout_timer_;
-    std::uint64_t next_connection_ = 0;
+    std::uint64_t last_connection_id_ = 0;
     std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-    std::map<std::uint64_t, std::uint64_t> requests_;  // request to connection
+    std::map<std::uint64_t, std::uint64_t> requests_;  // request id to connection id
     std::set<IncompleteRequest> incomplete_;
     std::set<IdleConnection> idle_;
 };
--- a/src/io/http_status.hpp
+++ b/src/io/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP status codes that this service gives or tells apart.
+/// HTTP status codes that the program returns or handles specially.
 #pragma once
 
 namespace cranemoor::io::http_status {
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-// Parses "10.0.0.1:8080". False if the address is none.
+// Parses an IPv4 address and port such as "10.0.0.1:8080". Returns false if the port is
+// missing or the IPv4 address is invalid.
 bool parse_address(const std::string& address, sockaddr_in& out) {
     auto colon = address.rfind(':');
     if (colon == std::string::npos) {
@@ -30,12 +31,12 @@
     return inet_pton(AF_INET, address.substr(0, colon).c_str(), &out.sin_addr) == 1;
 }
 
-// Opens a non-blocking IPv4 socket; -1 with errno set if it can't.
+// Opens a non-blocking IPv4 socket; returns -1 with errno set on failure.
 int open_socket() {
     return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-// Closes a socket that failed and keeps the error for the caller.
+// Closes a socket after a failed call and preserves errno for the caller.
 int close_failed(int fd) {
     int error = errno;
     ::close(fd);
@@ -47,7 +48,7 @@
 
 Loop::Loop() : loop_(ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV)) {
     if (loop_ == nullptr) {
-        throw std::runtime_error("no event loop can be made on this system");
+        throw std::runtime_error("cannot create an event loop: libev found no usable backend");
     }
 }
 
@@ -61,13 +62,14 @@
     return {seconds(steady_clock::now()), seconds(system_clock::now())};
 }
 
-Timer::Timer(Loop& loop, std::function<void()> fire) : loop_(loop), fire_(std::move(fire)) {
+Timer::Timer(Loop& loop, std::function<void()> on_fire)
+    : loop_(loop), on_fire_(std::move(on_fire)) {
     ev_timer_init(
         &timer_,
         [](struct ev_loop*, ev_timer* timer, int) {
-            // Called through a copy: what it does may destroy this timer.
-            auto fire = static_cast<Timer*>(timer->data)->fire_;
-            fire();
+            // Called through a copy, because the callback may destroy this timer.
+            auto on_fire = static_cast<Timer*>(timer->data)->on_fire_;
+            on_fire();
         },
         0, 0);
     timer_.data = this;
@@ -80,14 +82,14 @@
     ev_timer_start(loop_.raw(), &timer_);
 }
 
-Descriptor::Descriptor(Loop& loop, int fd, std::function<void(int)> ready)
-    : loop_(loop), fd_(fd), ready_(std::move(ready)) {
+Descriptor::Descriptor(Loop& loop, int fd, std::function<void(int)> on_ready)
+    : loop_(loop), fd_(fd), on_ready_(std::move(on_ready)) {
     ev_io_init(
         &io_,
         [](struct ev_loop*, ev_io* io, int events) {
-            // Called through a copy: what it does may destroy this descriptor.
-            auto ready = static_cast<Descriptor*>(io->data)->ready_;
-            ready(events);
+            // Called through a copy, because the callback may destroy this descriptor.
+            auto on_ready = static_cast<Descriptor*>(io->data)->on_ready_;
+            on_ready(events);
         },
         fd, EV_READ);
     io_.data = this;
@@ -119,8 +121,8 @@
     if (fd < 0) {
         return -1;
     }
-    int on = 1;
-    ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    int enable = 1;
+    ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
     if (::bind(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 ||
         ::listen(fd, core::constants::listen_backlog_max) != 0) {
         return close_failed(fd);
@@ -138,8 +140,8 @@
     if (fd < 0) {
         return -1;
     }
-    int on = 1;
-    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    int enable = 1;
+    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
     if (::connect(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 &&
         errno != EINPROGRESS) {
         return close_failed(fd);
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -13,30 +13,30 @@
 
 namespace {
 
-constexpr double never = 1e18;           // a time on the steady clock that does not come
-constexpr double timer_s_least = 0.001;  // so that a timer never fires before its budget is there
+constexpr double never = 1e18;               // steady time that is never reached
+constexpr double timer_delay_min_s = 0.001;  // a timer must not fire before tokens are available
 constexpr int http_too_many_requests = 429;
 
-// Lower ranks are sent first. All calls but transactions are urgent: among them are the renewals of
-// leases.
+// Lower ranks are sent first. All calls except transactions rank first, because they include lease
+// renewals.
 int urgency_rank(const core::StoreCall& call) {
     return call.kind == core::StoreCall::Kind::txn ? static_cast<int>(call.txn.urgency) : -1;
 }
 
 }  // namespace
 
-StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Done done)
-    : done_(std::move(done)),
-      calls_(loop, settings.store_address, constants::store_connections_max,
-             constants::store_response_bytes_max),
-      watches_(loop, settings.store_address, constants::watch_connections_max,
-               constants::store_response_bytes_max),
-      requests_(settings.store_requests_per_s * constants::store_request_share,
-                settings.store_requests_per_s * constants::store_request_share),
-      writes_(settings.store_writes_per_s * constants::store_write_share,
-              settings.store_writes_per_s * constants::store_write_share),
-      watch_requests_(settings.store_requests_per_s * constants::watch_request_share,
-                      constants::watch_requests_burst_max),
+StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Callback callback)
+    : callback_(std::move(callback)),
+      call_client_(loop, settings.store_address, constants::store_connections_max,
+                   constants::store_response_bytes_max),
+      watch_client_(loop, settings.store_address, constants::watch_connections_max,
+                    constants::store_response_bytes_max),
+      request_bucket_(settings.store_requests_per_s * constants::store_request_share,
+                      settings.store_requests_per_s * constants::store_request_share),
+      write_bucket_(settings.store_writes_per_s * constants::store_write_share,
+                    settings.store_writes_per_s * constants::store_write_share),
+      watch_bucket_(settings.store_requests_per_s * constants::watch_request_share,
+                    constants::watch_requests_burst_max),
       timer_(loop, [this] { send_queued(); }) {}
 
 void StoreClient::call(core::StoreCall call) {
@@ -50,9 +50,9 @@
     send_queued();
 }
 
-// In order of urgency, and of equals behind those that came before: a lease must not end behind a
-// queue, and a call that somebody waits for comes before one that nobody waits for. A retry goes
-// before its equals.
+// Inserts a call in order of urgency, after earlier calls of the same urgency: a lease must not
+// expire behind a queue, and a call that a client waits for precedes one that nobody waits for. A
+// retry goes before calls of the same urgency.
 void StoreClient::enqueue(QueuedCall queued) {
     int rank = urgency_rank(queued.call);
     bool is_retry = queued.retries > 0;
@@ -63,12 +63,12 @@
     queue_.insert(position, std::move(queued));
 }
 
-// Sends what the budgets allow, and sets the timer for the rest.
+// Sends the calls that the rate limits allow, and sets the timer for the rest.
 void StoreClient::send_queued() {
     double now = Loop::now().steady;
-    double next_s = never;
-    // Guards against a transaction of several writes that never goes out, since smaller ones that
-    // came later take what little is left each time.
+    double next_wake_s = never;
+    // Prevents starvation of a transaction with several writes: later, smaller transactions would
+    // otherwise take the remaining tokens each time.
     bool writes_reserved = false;
     for (std::size_t i = 0; i < queue_.size();) {
         QueuedCall& queued = queue_[i];
@@ -77,18 +77,18 @@
             send_queued();  // the callback may have changed the queue
             return;
         }
-        if (fits_budget(queued, now, writes_reserved)) {
-            take_budget(queued);
+        if (fits_rate_limits(queued, now, writes_reserved)) {
+            take_tokens(queued);
             send(remove(i));
             continue;
         }
         bool has_writes = !queued.is_watch() && queued.writes() > 0;
         writes_reserved = writes_reserved || (has_writes && now >= queued.not_before);
-        next_s = std::min({next_s, wait_s(queued, now), queued.deadline - now});
+        next_wake_s = std::min({next_wake_s, wait_s(queued, now), queued.deadline - now});
         ++i;
     }
-    if (next_s < never / 10) {
-        timer_.start(std::max(timer_s_least, next_s));
+    if (next_wake_s < never / 10) {
+        timer_.start(std::max(timer_delay_min_s, next_wake_s));
     }
 }
 
@@ -98,44 +98,44 @@
     return removed;
 }
 
-// Ends a call that was never sent.
+// Fails a call that was never sent.
 void StoreClient::refuse(std::uint64_t id) {
     core::StoreReply reply;
     reply.status = core::StoreReply::Status::refused;
-    done_(id, reply);
+    callback_(id, reply);
 }
 
-core::TokenBucket& StoreClient::request_budget(const QueuedCall& queued) {
-    return queued.is_watch() ? watch_requests_ : requests_;
+core::TokenBucket& StoreClient::request_bucket(const QueuedCall& queued) {
+    return queued.is_watch() ? watch_bucket_ : request_bucket_;
 }
 
-bool StoreClient::fits_budget(const QueuedCall& queued, double now, bool writes_reserved) {
-    if (now < queued.not_before || !request_budget(queued).can_take(now, 1)) {
+bool StoreClient::fits_rate_limits(const QueuedCall& queued, double now, bool writes_reserved) {
+    if (now < queued.not_before || !request_bucket(queued).can_take(now, 1)) {
         return false;
     }
     if (queued.is_watch() || queued.writes() == 0) {
         return true;
     }
-    return !writes_reserved && writes_.can_take(now, queued.writes());
+    return !writes_reserved && write_bucket_.can_take(now, queued.writes());
 }
 
-void StoreClient::take_budget(const QueuedCall& queued) {
-    request_budget(queued).take(1);
+void StoreClient::take_tokens(const QueuedCall& queued) {
+    request_bucket(queued).take(1);
     if (!queued.is_watch() && queued.writes() > 0) {
-        writes_.take(queued.writes());
+        write_bucket_.take(queued.writes());
     }
 }
 
-// Seconds until the budgets allow the call, if nothing else takes from them.
+// Seconds until the rate limits allow the call, if no other call takes tokens meanwhile.
 double StoreClient::wait_s(const QueuedCall& queued, double now) {
-    double writes_wait_s = queued.is_watch() ? 0.0 : writes_.wait_s(now, queued.writes());
+    double writes_wait_s = queued.is_watch() ? 0.0 : write_bucket_.wait_s(now, queued.writes());
     return std::max(
-        {queued.not_before - now, request_budget(queued).wait_s(now, 1), writes_wait_s});
+        {queued.not_before - now, request_bucket(queued).wait_s(now, 1), writes_wait_s});
 }
 
 void StoreClient::send(const QueuedCall& queued) {
     auto request = wire::store_request(queued.call);
-    HttpClient& client = queued.is_watch() ? watches_ : calls_;
+    HttpClient& client = queued.is_watch() ? watch_client_ : call_client_;
     double timeout_s = queued.is_watch() ? constants::watch_duration_max_ms / 1000.0 +
                                                constants::watch_timeout_margin_s
                                          : constants::store_timeout_s;
@@ -145,8 +145,8 @@
 }
 
 void StoreClient::handle_response(const QueuedCall& queued, const HttpMessage* response) {
-    bool over_limit = response != nullptr && response->status == http_too_many_requests;
-    if (over_limit && queued.retries < constants::store_rate_limit_retries_max) {
+    bool is_rate_limited = response != nullptr && response->status == http_too_many_requests;
+    if (is_rate_limited && queued.retries < constants::store_rate_limit_retries_max) {
         retry(queued);
         return;
     }
@@ -154,10 +154,11 @@
     if (response != nullptr) {
         reply = wire::decode_store_reply(queued.call, response->status, response->body);
     }
-    done_(queued.call.id, reply);
+    callback_(queued.call.id, reply);
 }
 
-// Sends again what was over the limit, which all controllers share, and so was not executed.
+// Retries a call that exceeded the store's limit, which all controllers share. The store did not
+// execute it.
 void StoreClient::retry(QueuedCall queued) {
     queued.retries++;
     queued.not_before = Loop::now().steady + constants::store_rate_limit_backoff_s * queued.retries;
--- a/src/io/store_client.hpp
+++ b/src/io/store_client.hpp
@@ -1,4 +1,4 @@
-// Calls to the key-value store, within a budget below its limits.
+/// Client of the key-value store with a rate limiter below the store's limits.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace cranemoor::io {
 
-/// Sends calls to the key-value store: by urgency, below the request and write limits of the
-/// settings (protocol, "Limits and errors"), with retries of what was refused for its rate. Watches
-/// have connections and a budget of their own, since each occupies a connection while it waits.
+/// Sends calls in order of urgency, below the request and write limits of the settings (protocol,
+/// "Limits and errors"), and retries calls that the store rejected for their rate. Watches have
+/// their own connections and rate limit, because each occupies a connection while it waits.
 class StoreClient {
   public:
-    /// Called once for each call, with its id and the reply.
-    using Done = std::function<void(std::uint64_t id, const core::StoreReply&)>;
+    /// Called once per call, with its id and the reply.
+    using Callback = std::function<void(std::uint64_t id, const core::StoreReply&)>;
 
-    /// `done` may make further calls.
-    StoreClient(Loop& loop, const core::Settings& settings, Done done);
+    /// `callback` may make further calls.
+    StoreClient(Loop& loop, const core::Settings& settings, Callback callback);
 
-    /// Queues a call and sends it as soon as the budget allows. A call that could not be sent
-    /// within `constants::store_timeout_s` ends as `Status::refused`; a watch waits as long as it
-    /// must.
+    /// Queues a call and sends it as soon as the rate limits allow. A call that could not be sent
+    /// within `constants::store_timeout_s` ends as `Status::refused`; a watch stays queued without
+    /// a time limit.
     void call(core::StoreCall call);
 
   private:
-    // A call that waits to be sent. Times are in seconds on the steady clock.
+    // A call that has not been sent. Times are in seconds on the steady clock.
     struct QueuedCall {
         core::StoreCall call;
         double deadline = 0;
-        double not_before = 0;  // of a retry
+        double not_before = 0;  // earliest time of a retry; 0: no retry
         int retries = 0;
 
         bool is_watch() const { return call.kind == core::StoreCall::Kind::watch; }
@@ -43,20 +43,20 @@
     void send_queued();
     QueuedCall remove(std::size_t index);
     void refuse(std::uint64_t id);
-    bool fits_budget(const QueuedCall& queued, double now, bool writes_reserved);
-    void take_budget(const QueuedCall& queued);
+    bool fits_rate_limits(const QueuedCall& queued, double now, bool writes_reserved);
+    void take_tokens(const QueuedCall& queued);
     double wait_s(const QueuedCall& queued, double now);
-    core::TokenBucket& request_budget(const QueuedCall& queued);
+    core::TokenBucket& request_bucket(const QueuedCall& queued);
     void send(const QueuedCall& queued);
     void handle_response(const QueuedCall& queued, const HttpMessage* response);
     void retry(QueuedCall queued);
 
-    Done done_;
-    HttpClient calls_;
-    HttpClient watches_;
-    core::TokenBucket requests_;
-    core::TokenBucket writes_;
-    core::TokenBucket watch_requests_;
+    Callback callback_;
+    HttpClient call_client_;
+    HttpClient watch_client_;
+    core::TokenBucket request_bucket_;
+    core::TokenBucket write_bucket_;
+    core::TokenBucket watch_bucket_;
     std::deque<QueuedCall> queue_;
     Timer timer_;
 };
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -97,8 +97,8 @@
 }
 
 // What a parser makes of a text that comes in the given pieces.
-std::string parsed(const std::vector<std::string>& pieces, std::size_t body_max) {
-    io::HttpParser parser(io::HttpParser::Role::request, body_max);
+std::string parsed(const std::vector<std::string>& pieces, std::size_t body_bytes_max) {
+    io::HttpParser parser(io::HttpParser::Role::request, body_bytes_max);
     std::string seen;
     for (const auto& piece : pieces) {
         auto state = parser.feed(piece);
@@ -106,8 +106,9 @@
             seen += describe(parser.take());
             state = parser.feed({});
         }
-        EXPECT_LE(parser.held(), core::constants::head_bytes_max + 2 * body_max + piece.size());
-        if (state != io::HttpParser::State::more) {
+        EXPECT_LE(parser.buffered_bytes(),
+                  core::constants::head_bytes_max + 2 * body_bytes_max + piece.size());
+        if (state != io::HttpParser::State::incomplete) {
             return seen + (state == io::HttpParser::State::bad ? "bad" : "too large");
         }
     }
@@ -140,7 +141,7 @@
         state = parser.feed(std::string(1000, 'x'));
     }
     EXPECT_EQ(state, io::HttpParser::State::too_large);
-    EXPECT_LE(parser.held(), core::constants::head_bytes_max + 200);
+    EXPECT_LE(parser.buffered_bytes(), core::constants::head_bytes_max + 200);
 }
 
 // --- messages -----------------------------------------------------------------------------
--- a/tests/http_parser_test.cpp
+++ b/tests/http_parser_test.cpp
@@ -17,8 +17,8 @@
     std::string text =
         "POST /work HTTP/1.1\r\nHost: x\r\nContent-LENGTH:  5 \r\n\r\nhelloGET / HTTP/1.1\r\n\r\n";
     std::size_t at = 0;
-    State state = State::more;
-    while (state == State::more) {
+    State state = State::incomplete;
+    while (state == State::incomplete) {
         state = p.feed(std::string_view(text).substr(at++, 1));
     }
     ASSERT_EQ(state, State::complete);
@@ -79,7 +79,7 @@
     auto m = p.take();
     EXPECT_EQ(m.status, 200);
     EXPECT_FALSE(m.keep_alive);
-    EXPECT_EQ(p.feed("HTTP/1.1 503\r\n\r\nuntil the end"), State::more);
+    EXPECT_EQ(p.feed("HTTP/1.1 503\r\n\r\nuntil the end"), State::incomplete);
     EXPECT_EQ(p.end(), State::complete);
     EXPECT_EQ(p.take().body, "until the end");
 }
