--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -1,4 +1,5 @@
-// Claims of tasks on machines: durable before their start, and few writes for many tasks.
+// Claims of tasks on machines: durable before the start command is sent, and with few writes for
+// many tasks.
 #include <algorithm>
 #include <array>
 
@@ -11,14 +12,14 @@
 
 struct ThreeControllerClaimTest : ThreeControllerTest {};
 
-TEST_F(ClaimTest, TheClaimIsDurableWhenItsStartGoesOut) {
+TEST_F(ClaimTest, ClaimIsDurableBeforeItsStartCommandIsSent) {
     start_cluster();
     int starts = 0;
-    cluster.workers.on_command = [&](const std::string& machine, const Command& c) {
-        if (c.kind == Command::Kind::start) {
-            const Json* block = cluster.store.find("c/b/" + c.id.uid + "/0");
+    cluster.workers.on_command = [&](const std::string& machine, const Command& command) {
+        if (command.kind == Command::Kind::start) {
+            const Json* block = cluster.store.find("c/b/" + command.id.uid + "/0");
             ASSERT_NE(block, nullptr);
-            EXPECT_EQ(block->at("placed").at(std::to_string(c.id.index)).at(0), machine);
+            EXPECT_EQ(block->at("placed").at(std::to_string(command.id.index)).at(0), machine);
             ++starts;
         }
     };
@@ -27,7 +28,7 @@
     EXPECT_GE(starts, 5);
 }
 
-TEST_F(ClaimTest, AClaimWhoseAnswerWasLostIsNeitherLostNorDoubled) {
+TEST_F(ClaimTest, ClaimWithLostReplyIsNeitherLostNorDuplicated) {
     start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 4));
     cluster.faults.lost_reply_probability = 0.5;
@@ -37,7 +38,7 @@
     EXPECT_EQ(cluster.running_tasks("req-000001"), 4);
 }
 
-TEST_F(ThreeControllerClaimTest, AThousandMachinesCostABoundedNumberOfWrites) {
+TEST_F(ThreeControllerClaimTest, WritesAreBoundedWithAThousandMachines) {
     cluster.settings.heartbeat_interval_s = 8;
     cluster.settings.lease_s = 42;
     cluster.settings.cancel_deadline_s = 67;
@@ -49,8 +50,8 @@
     cluster.cloud.capacity = 0;
     start_cluster(3);
     cluster.run_for(12);
-    const int jobs = 90;
-    for (int i = 0; i < jobs; ++i) {
+    const int job_count = 90;
+    for (int i = 0; i < job_count; ++i) {
         auto kind = std::array{JobKind::array, JobKind::gang,
                                JobKind::service}[static_cast<std::size_t>(i % 3)];
         auto spec = cluster.make_job(i + 1, kind, kind == JobKind::array ? 24 : 2);
@@ -61,80 +62,84 @@
         }
         cluster.submit(i % 3, spec);
     }
-    auto placed = [&] {
-        int n = 0;
-        for (int i = 0; i < jobs; ++i) {
-            n += static_cast<int>(cluster.machines_running(fmt::format("req-{:06}", i + 1)).size());
+    auto placed_tasks = [&] {
+        int count = 0;
+        for (int i = 0; i < job_count; ++i) {
+            count +=
+                static_cast<int>(cluster.machines_running(fmt::format("req-{:06}", i + 1)).size());
         }
-        return n;
+        return count;
     };
-    EXPECT_TRUE(cluster.run_until([&] { return placed() == 30 * 24 + 30 * 2 + 30 * 2; }, 20))
-        << placed();
-    // One write accepts several jobs; about one claims each, where a claim for each machine's
-    // report would take three for an array; slices are taken in coarse parts.
-    EXPECT_LT(cluster.store.writes_by_kind["c/a"], jobs / 4);
+    EXPECT_TRUE(cluster.run_until([&] { return placed_tasks() == 30 * 24 + 30 * 2 + 30 * 2; }, 20))
+        << placed_tasks();
+    // One write accepts several jobs. Claims take about one write per job; a write per machine
+    // heartbeat would take three for an array. Quota slices are taken in large portions.
+    EXPECT_LT(cluster.store.writes_by_kind["c/a"], job_count / 4);
     EXPECT_EQ(cluster.store.writes_by_kind["c/j"], 0);
-    EXPECT_LE(cluster.store.writes_by_kind["c/b"], jobs * 3 / 2);
+    EXPECT_LE(cluster.store.writes_by_kind["c/b"], job_count * 3 / 2);
     EXPECT_LE(cluster.store.writes_by_kind["c/q"], 12);
     cluster.run_for(60);
-    // The ends of 24 tasks are collected; a gang's are one write, and so is a job's final state.
-    EXPECT_LE(cluster.store.writes_by_kind["c/b"], jobs * 4);
+    // Completions of an array's 24 tasks are batched; those of a gang are one write, and so is a
+    // job's final state.
+    EXPECT_LE(cluster.store.writes_by_kind["c/b"], job_count * 4);
     for (int i = 0; i < 3; ++i) {
         EXPECT_TRUE(cluster.controller(i).context().jobs.indexes_consistent());
     }
-    // A wave: the marks of many machines share records.
-    int before = cluster.store.writes_by_kind["c/x"];
-    int hanging = 0;
-    for (auto& [name, m] : cluster.machines) {
-        if (hanging < 200 && !m.deleted) {
-            m.is_hung = true;
-            ++hanging;
+    // Many machines hang at once: their cordons share records.
+    int cordon_writes_before = cluster.store.writes_by_kind["c/x"];
+    int hung_machines = 0;
+    for (auto& [name, worker] : cluster.machines) {
+        if (hung_machines < 200 && !worker.deleted) {
+            worker.is_hung = true;
+            ++hung_machines;
         }
     }
     EXPECT_TRUE(cluster.run_until(
         [&] {
-            return std::all_of(cluster.machines.begin(), cluster.machines.end(),
-                               [](const auto& m) { return !m.second.is_hung || m.second.deleted; });
+            return std::all_of(
+                cluster.machines.begin(), cluster.machines.end(),
+                [](const auto& entry) { return !entry.second.is_hung || entry.second.deleted; });
         },
         60));
-    EXPECT_LE(cluster.store.writes_by_kind["c/x"] - before, 60);
+    EXPECT_LE(cluster.store.writes_by_kind["c/x"] - cordon_writes_before, 60);
 }
 
-TEST_F(ClaimTest, EndsOfAnArrayCostFewWritesAndGoWithClaims) {
-    // Found after the state service had lowered its write limit: every end of a wide array was told
-    // by a write of its own, and claims waited behind them.
+TEST_F(ClaimTest, ArrayCompletionsAreBatchedAndWrittenWithClaims) {
+    // Guards against a separate write for the completion of each task of a large array: under a
+    // lowered write limit of the key-value store, claims waited behind these writes.
     cluster.cloud.capacity = 2;
     cluster.workers.task_run_s = 1000;
     start_cluster();
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
     cluster.run_for(8);
-    auto wide = cluster.make_job(1, JobKind::array, 30);
-    wide.task_resources = {6, 0, 10};  // ten on each machine
-    ASSERT_EQ(cluster.submit_and_wait(0, wide).status, 201);
+    auto wide_job = cluster.make_job(1, JobKind::array, 30);
+    wide_job.task_resources = {6, 0, 10};  // ten per machine
+    ASSERT_EQ(cluster.submit_and_wait(0, wide_job).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 20; }, 30));
-    int before = cluster.store.writes_by_kind["c/b"];
-    for (int t = 0; t < 10; ++t) {
-        for (auto& [name, m] : cluster.machines) {
-            auto task = m.tasks.find({"req-000001", t});
-            if (task != m.tasks.end()) {
+    int block_writes_before = cluster.store.writes_by_kind["c/b"];
+    for (int task_index = 0; task_index < 10; ++task_index) {
+        for (auto& [name, worker] : cluster.machines) {
+            auto task = worker.tasks.find({"req-000001", task_index});
+            if (task != worker.tasks.end()) {
                 task->second.begin()->second.ends_at_s = cluster.now();
             }
         }
         cluster.run_for(0.8);
     }
     cluster.run_for(2);
-    EXPECT_LE(cluster.store.writes_by_kind["c/b"] - before, 12);
-    int done = 0;
+    EXPECT_LE(cluster.store.writes_by_kind["c/b"] - block_writes_before, 12);
+    int completed_tasks = 0;
     for (const auto& range : cluster.store.find("c/b/req-000001/0")->at("done")) {
-        done += range.at(1).get<int>() - range.at(0).get<int>() + 1;
+        completed_tasks += range.at(1).get<int>() - range.at(0).get<int>() + 1;
     }
-    EXPECT_GE(done, 9);
+    EXPECT_GE(completed_tasks, 9);
     EXPECT_EQ(cluster.running_tasks("req-000001"), 20);
 }
 
-TEST_F(ClaimTest, AClaimOnAMachineNobodyKnowsIsTakenBack) {
-    // Guards against a claim that lands after its machine was released and forgotten.
+TEST_F(ClaimTest, ClaimOnAnUnknownMachineIsRevoked) {
+    // Guards against a claim that is committed after its machine was released and removed from the
+    // records.
     start_cluster();
     cluster.add_machine("vm-500000", "a");
     cluster.cloud.capacity = 0;
@@ -143,22 +148,22 @@
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 1; }, 20));
     const Json* block = cluster.store.find("c/b/req-000001/0");
     ASSERT_NE(block, nullptr);
-    Json late = *block;
-    late["attempt"] = 9;
-    late["placed"]["0"][0] = "vm-999999";
-    late["placed"]["0"][2] = 9;
-    cluster.store.put("c/b/req-000001/0", late);
+    Json late_claim = *block;
+    late_claim["attempt"] = 9;
+    late_claim["placed"]["0"][0] = "vm-999999";
+    late_claim["placed"]["0"][2] = 9;
+    cluster.store.put("c/b/req-000001/0", late_claim);
     EXPECT_TRUE(cluster.run_until(
         [&] {
-            const Json* now = cluster.store.find("c/b/req-000001/0");
-            return now != nullptr && now->at("placed").contains("0") &&
-                   now->at("placed").at("0").at(0) == "vm-500000";
+            const Json* current_block = cluster.store.find("c/b/req-000001/0");
+            return current_block != nullptr && current_block->at("placed").contains("0") &&
+                   current_block->at("placed").at("0").at(0) == "vm-500000";
         },
         60));
 }
 
-TEST_F(ClaimTest, OneClaimOverMachinesOfTwoZonesKeepsAJobTogether) {
-    // A lone member owns the machines of all zones, and claims on several at once.
+TEST_F(ClaimTest, ClaimOnMachinesOfTwoZonesKeepsASameZoneJobInOneZone) {
+    // A single member owns the machines of all zones and claims on several of them at once.
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
@@ -168,9 +173,9 @@
     job.same_zone = true;
     cluster.submit_and_wait(0, job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 20));
-    cluster.run_for(5);  // SimulatedCluster checks the zone at every start
-    auto places = cluster.machines_running("req-000001");
-    EXPECT_EQ(std::set<std::string>(places.begin(), places.end()).size(), 1U);
+    cluster.run_for(5);  // InvariantChecker checks the zone at every start
+    auto machines = cluster.machines_running("req-000001");
+    EXPECT_EQ(std::set<std::string>(machines.begin(), machines.end()).size(), 1U);
 }
 
 }  // namespace
--- a/tests/delayed_claim_test.cpp
+++ b/tests/delayed_claim_test.cpp
@@ -1,4 +1,4 @@
-// Claims without an answer that are carried out late, after newer ones.
+// Claims that get no reply and are executed late, after newer claims of the same tasks.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -8,10 +8,11 @@
 
 struct DelayedClaimTest : ClusterTest {};
 
-TEST_F(DelayedClaimTest, AClaimInItsOwnRecordThatIsCarriedOutLateMeetsNoNewerOneInASharedRecord) {
-    // Found by days of late writes: a claim of many tasks goes into the block's own record. Without
-    // an answer it was made anew, of fewer tasks and so in a shared record, which leaves the
-    // block's revision as it was: then both were carried out.
+TEST_F(DelayedClaimTest, DelayedClaimInBlockRecordAndItsRetryInAClaimBatchAreNotBothExecuted) {
+    // Guards against a claim and its retry both being executed. A claim of many tasks is written to
+    // the block's own record. When it got no reply, the retry claimed fewer tasks and was therefore
+    // written to a claim batch, which leaves the block's revision unchanged, so that the delayed
+    // write still met its conditions.
     cluster.workers.task_run_s = 120;
     cluster.tunables.worker_timeout_s = 3;
     for (int i = 0; i < 4; ++i) {
@@ -21,65 +22,69 @@
     start_cluster();
     cluster.store.put_admission_table(true);
     cluster.run_for(1);
-    int held = 0;
+    int held_transactions = 0;
     cluster.faults.transaction_hold_s = [&](const Txn& txn) {
-        bool many = std::any_of(txn.writes.begin(), txn.writes.end(), [](const auto& x) {
-            return x.key == "c/b/req-000001/0" && x.value->at("placed").size() >= 32;
-        });
-        held += many ? 1 : 0;
-        return many ? 14.0 : 0.0;
+        bool claims_many_tasks =
+            std::any_of(txn.writes.begin(), txn.writes.end(), [](const auto& write) {
+                return write.key == "c/b/req-000001/0" && write.value->at("placed").size() >= 32;
+            });
+        held_transactions += claims_many_tasks ? 1 : 0;
+        return claims_many_tasks ? 14.0 : 0.0;
     };
-    auto mute = [&](bool yes) {
+    auto lose_heartbeats = [&](bool is_lost) {
         for (int i = 0; i < 4; ++i) {
-            cluster.machines[fmt::format("vm-50000{}", i)].loses_heartbeats = yes;
+            cluster.machines[fmt::format("vm-50000{}", i)].loses_heartbeats = is_lost;
         }
     };
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 40)).status, 201);
-    ASSERT_TRUE(cluster.run_until([&] { return held == 1; }, 10));
-    mute(true);  // for a moment only one is left that can take some of them
+    ASSERT_TRUE(cluster.run_until([&] { return held_transactions == 1; }, 10));
+    lose_heartbeats(true);  // only one machine remains that can take some of the tasks
     cluster.add_machine("vm-400000", "a");
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 8; }, 10));
-    mute(false);
+    lose_heartbeats(false);
     cluster.run_for(11);
     cluster.machines["vm-400000"].loses_replies =
-        true;  // a stop of what runs there would come too late
+        true;  // a stop command for its tasks would arrive too late
     cluster.run_for(3);
     cluster.machines["vm-400000"].loses_replies = false;
     cluster.cloud.capacity = 1000;
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 40; }, 60));
 }
 
-TEST_F(DelayedClaimTest, AClaimInASharedRecordThatIsCarriedOutLateMeetsNoNewerOneInAnother) {
-    // Found by a day of late writes: the claim without an answer was made anew in another record,
-    // of which less was needed, and then both were carried out.
+TEST_F(DelayedClaimTest, DelayedClaimInAClaimBatchAndItsRetryInAnotherAreNotBothExecuted) {
+    // Guards against a claim and its retry both being executed: the retry of a claim that got no
+    // reply was written to another claim batch record, one of which fewer bytes were still needed.
     cluster.workers.task_run_s = 60;
     for (int i = 0; i < 9; ++i) {
         cluster.add_machine(fmt::format("vm-50000{}", i), "a");
-        cluster.run_for(0.3);  // they report one after the other, and get what is open then
+        cluster.run_for(0.3);  // they send heartbeats in turn, and each gets the tasks then pending
     }
     start_cluster();
     cluster.store.put_admission_table(true);
     cluster.run_for(1);
-    auto submit = [&](int n, int tasks, Resources each) {
-        auto s = cluster.make_job(n, JobKind::array, tasks);
-        s.task_resources = each;
-        ASSERT_EQ(cluster.submit_and_wait(0, s).status, 201);
+    auto submit_array = [&](int number, int tasks, Resources task_resources) {
+        auto spec = cluster.make_job(number, JobKind::array, tasks);
+        spec.task_resources = task_resources;
+        ASSERT_EQ(cluster.submit_and_wait(0, spec).status, 201);
     };
-    submit(1, 30, {1, 0.1, 1});  // much is needed of the first record
+    submit_array(1, 30, {1, 0.1, 1});  // much of the first record is still needed
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 30; }, 30));
     ASSERT_EQ(cluster.store.keys("c/s/").size(), 1U);
-    int held = 0;
+    int held_transactions = 0;
     cluster.faults.transaction_hold_s = [&](const Txn& txn) {
-        bool claims = txn.purpose == Txn::Purpose::claim_batch && !txn.conditions.empty() &&
-                      std::any_of(txn.conditions.begin(), txn.conditions.end(),
-                                  [](const Condition& c) { return c.key == "c/b/req-000002/0"; });
-        return claims && held++ == 0 ? 8.0 : 0.0;
+        bool is_claim_of_second_job =
+            txn.purpose == Txn::Purpose::claim_batch && !txn.conditions.empty() &&
+            std::any_of(
+                txn.conditions.begin(), txn.conditions.end(),
+                [](const Condition& condition) { return condition.key == "c/b/req-000002/0"; });
+        return is_claim_of_second_job && held_transactions++ == 0 ? 8.0 : 0.0;
     };
-    submit(2, 4, {30, 4, 200});
-    ASSERT_TRUE(cluster.run_until([&] { return held == 1; }, 10));
-    submit(3, 2, {1, 0.1, 1});  // goes to a second record
+    submit_array(2, 4, {30, 4, 200});
+    ASSERT_TRUE(cluster.run_until([&] { return held_transactions == 1; }, 10));
+    submit_array(3, 2, {1, 0.1, 1});  // is written to a second record
     cluster.run_for(0.3);
-    cluster.machines["vm-500000"].is_hung = true;  // where the claim is: made anew, it finds others
+    cluster.machines["vm-500000"].is_hung =
+        true;  // the claimed machine: the retry places on others
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000002") == 4; }, 30));
     cluster.machines["vm-500000"].is_hung = false;
     cluster.run_for(12);
@@ -89,9 +94,9 @@
         200));
 }
 
-TEST(DelayedSharedClaimTest, ClaimsInSharedRecordsThatAreCarriedOutLateMeetNewerOnes) {
-    // Found by a day of late writes: a claim without an answer was made anew in another shared
-    // record, and then both were carried out.
+TEST(DelayedSharedClaimTest, RandomlyDelayedClaimBatchesAreNotExecutedWithTheirRetries) {
+    // Guards against a claim and its retry both being executed: the retry of a claim that got no
+    // reply was written to another claim batch record.
     for (unsigned seed = 1; seed <= 12; ++seed) {
         SimulatedCluster cluster(3, seed);
         cluster.workers.task_run_s = 8;
@@ -102,22 +107,22 @@
         ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 10));
         cluster.run_for(1);
         cluster.faults.delayed_transaction_probability = 0.3;
-        for (int n = 1; n <= 60; ++n) {
-            if (n % 10 == 1) {
+        for (int number = 1; number <= 60; ++number) {
+            if (number % 10 == 1) {
                 cluster.store.put_admission_table(
-                    true, {3, 2, 2});  // the leading member thinks otherwise now and then
+                    true, {3, 2, 2});  // the leader overwrites it now and then
             }
-            auto s = cluster.make_job(n, JobKind::array, 2 + n % 5);
-            s.task_resources = {2, 0.5, 4};
-            cluster.submit(n % 3, s);
+            auto spec = cluster.make_job(number, JobKind::array, 2 + number % 5);
+            spec.task_resources = {2, 0.5, 4};
+            cluster.submit(number % 3, spec);
             cluster.run_for(0.7);
         }
         cluster.run_for(20);
         cluster.faults.delayed_transaction_probability = 0;
         cluster.run_for(15);
         EXPECT_EQ(cluster.invariants.violations, std::vector<std::string>()) << "seed " << seed;
-        for (int n = 1; n <= 60; ++n) {
-            auto uid = fmt::format("req-{:06}", n);
+        for (int number = 1; number <= 60; ++number) {
+            auto uid = fmt::format("req-{:06}", number);
             EXPECT_TRUE(!cluster.is_accepted(uid) ||
                         cluster.run_until([&] { return cluster.is_finished(uid); }, 60))
                 << uid;
