--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks may run: zones, spot instances, and machines or jobs that fail.
+// Placement constraints: zones, spot machines, cordoned machines, and machines or jobs that fail.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
@@ -8,17 +8,17 @@
 
 struct ThreeControllerPlacementTest : ThreeControllerTest {};
 
-TEST_F(ThreeControllerPlacementTest, SpreadTogetherAndZoneAreKept) {
+TEST_F(ThreeControllerPlacementTest, ZoneSpreadSameZoneAndFixedZoneAreKept) {
     start_cluster(3);
-    auto spread = cluster.make_job(1, JobKind::service, 5);
-    spread.zone_spread = true;
-    auto together = cluster.make_job(2, JobKind::array, 5);
-    together.same_zone = true;
-    auto zoned = cluster.make_job(3, JobKind::service, 2);
-    zoned.zone = "c";
-    cluster.submit_and_wait(0, spread);
-    cluster.submit_and_wait(1, together);
-    cluster.submit_and_wait(2, zoned);
+    auto spread_job = cluster.make_job(1, JobKind::service, 5);
+    spread_job.zone_spread = true;
+    auto same_zone_job = cluster.make_job(2, JobKind::array, 5);
+    same_zone_job.same_zone = true;
+    auto fixed_zone_job = cluster.make_job(3, JobKind::service, 2);
+    fixed_zone_job.zone = "c";
+    cluster.submit_and_wait(0, spread_job);
+    cluster.submit_and_wait(1, same_zone_job);
+    cluster.submit_and_wait(2, fixed_zone_job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 5; }, 60));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000003") == 2; }, 60));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000002"); }, 90));
@@ -27,21 +27,21 @@
     }
 }
 
-TEST_F(PlacementTest, OnlyJobsThatAllowItRunOnSpotMachines) {
+TEST_F(PlacementTest, OnlyJobsThatAllowSpotRunOnSpotMachines) {
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a", true);
-    auto strict = cluster.make_job(1, JobKind::service);
-    auto cheap = cluster.make_job(2, JobKind::service);
-    cheap.spot = true;
-    cluster.submit_and_wait(0, strict);
-    cluster.submit_and_wait(0, cheap);
+    auto on_demand_job = cluster.make_job(1, JobKind::service);
+    auto spot_job = cluster.make_job(2, JobKind::service);
+    spot_job.spot = true;
+    cluster.submit_and_wait(0, on_demand_job);
+    cluster.submit_and_wait(0, spot_job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000002") == 1; }, 30));
     cluster.run_for(10);
     EXPECT_EQ(cluster.running_tasks("req-000001"), 0);
 }
 
-TEST_F(PlacementTest, AMachineMarkedForReturnGetsNothingNew) {
+TEST_F(PlacementTest, CordonedMachineGetsNoNewTasks) {
     start_cluster();
     cluster.add_machine("vm-500000", "a");
     ASSERT_TRUE(cluster.run_until(
@@ -55,7 +55,7 @@
     EXPECT_EQ(cluster.running_tasks("req-000001"), 0);
 }
 
-TEST_F(PlacementTest, AMachineThatFailsEveryTaskIsSetAsideAndReturned) {
+TEST_F(PlacementTest, MachineThatFailsEveryTaskIsCordonedAndReleased) {
     start_cluster();
     cluster.add_machine("vm-000000", "a").fails_tasks = true;
     ASSERT_TRUE(cluster.run_until(
@@ -70,44 +70,46 @@
     }
 }
 
-TEST_F(ThreeControllerPlacementTest, AJobWithAMistakeCostsFewStartsAndNoMachine) {
-    // Found on the days of the operations: eight tasks of one such job that failed on a machine
-    // counted as eight errors, and the machine was returned; each controller learned alone.
+TEST_F(ThreeControllerPlacementTest, FailingJobCostsFewStartsAndNoMachine) {
+    // Guards against a faulty job being blamed on machines: eight failed tasks of one such job on
+    // one machine counted as eight errors of the machine, which was then released, and controllers
+    // did not share what they knew of the job's failures.
     start_cluster(3);
     cluster.cloud.capacity = 0;
-    // Work that keeps all three in use, and room beside it.
+    // Services that keep all three machines in use, with room for the failing job beside them.
     for (int i = 0; i < 3; ++i) {
-        auto beside = cluster.make_job(3 + i, JobKind::service, 2);
-        beside.zone = cluster.settings.zones[static_cast<std::size_t>(i)];
-        cluster.add_machine("vm-50000" + std::to_string(i), *beside.zone);
-        cluster.submit_and_wait(0, beside);
-        ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(beside.uid) == 2; }, 60));
+        auto service_job = cluster.make_job(3 + i, JobKind::service, 2);
+        service_job.zone = cluster.settings.zones[static_cast<std::size_t>(i)];
+        cluster.add_machine("vm-50000" + std::to_string(i), *service_job.zone);
+        cluster.submit_and_wait(0, service_job);
+        ASSERT_TRUE(
+            cluster.run_until([&] { return cluster.running_tasks(service_job.uid) == 2; }, 60));
     }
     int starts = 0;
-    cluster.workers.on_command = [&](const std::string&, const Command& c) {
-        starts += c.kind == Command::Kind::start && c.id.uid == "req-000002" ? 1 : 0;
+    cluster.workers.on_command = [&](const std::string&, const Command& command) {
+        starts += command.kind == Command::Kind::start && command.id.uid == "req-000002" ? 1 : 0;
     };
     cluster.workers.failing_jobs.insert("req-000002");
     cluster.cloud.capacity = 100;
-    auto bad = cluster.make_job(2, JobKind::array, 12);
-    cluster.submit_and_wait(1, bad);
+    auto failing_job = cluster.make_job(2, JobKind::array, 12);
+    cluster.submit_and_wait(1, failing_job);
     cluster.run_for(60);
-    int before = starts;
-    // What one controller learned outlives it.
+    int starts_before_restart = starts;
+    // Knowledge of the job's failures survives the controllers.
     for (int i = 0; i < 3; ++i) {
         cluster.kill(i);
     }
     cluster.start_all();
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 20));
     cluster.run_for(60);
-    EXPECT_LE(before, 60);
-    EXPECT_LE(starts - before, 6);
+    EXPECT_LE(starts_before_restart, 60);
+    EXPECT_LE(starts - starts_before_restart, 6);
     EXPECT_EQ(cluster.cloud.launches, 0);
     EXPECT_EQ(cluster.cloud.machine_count(), 3);
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000002")).state, "cancelled");
 }
 
-TEST_F(PlacementTest, ASpotMachineUnderNoticeGetsNothingNew) {
+TEST_F(PlacementTest, SpotMachineWithInterruptionNoticeGetsNoNewTasks) {
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a", true).interruption_notice_s = 20;
@@ -118,34 +120,34 @@
     EXPECT_EQ(cluster.running_tasks("req-000001"), 0);
 }
 
-TEST_F(PlacementTest, WhatCanSaveOnASpotMachineDoesSoBeforeItGoes) {
+TEST_F(PlacementTest, OnlyTasksWithCheckpointsAreStoppedBeforeASpotInterruption) {
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 300;
-    auto& spot = cluster.add_machine("vm-500000", "a", true);
-    auto saves = cluster.make_job(1, JobKind::array, 2);
-    saves.spot = true;
-    saves.checkpoint_s = 10;
-    saves.save_s = 2;
-    saves.estimate_s = 300;
-    auto loses = cluster.make_job(2, JobKind::array, 2);
-    loses.spot = true;
-    loses.estimate_s = 300;
-    cluster.submit_and_wait(0, saves);
-    cluster.submit_and_wait(0, loses);
+    auto& spot_machine = cluster.add_machine("vm-500000", "a", true);
+    auto checkpointing_job = cluster.make_job(1, JobKind::array, 2);
+    checkpointing_job.spot = true;
+    checkpointing_job.checkpoint_s = 10;
+    checkpointing_job.save_s = 2;
+    checkpointing_job.estimate_s = 300;
+    auto job_without_checkpoint = cluster.make_job(2, JobKind::array, 2);
+    job_without_checkpoint.spot = true;
+    job_without_checkpoint.estimate_s = 300;
+    cluster.submit_and_wait(0, checkpointing_job);
+    cluster.submit_and_wait(0, job_without_checkpoint);
     ASSERT_TRUE(cluster.run_until(
         [&] {
             return cluster.running_tasks("req-000001") + cluster.running_tasks("req-000002") == 4;
         },
         30));
     std::set<TaskId> stopped;
-    cluster.workers.on_command = [&](const std::string&, const Command& c) {
-        if (c.kind == Command::Kind::stop) {
-            EXPECT_GE(c.grace_s, 2);
-            stopped.insert(c.id);
+    cluster.workers.on_command = [&](const std::string&, const Command& command) {
+        if (command.kind == Command::Kind::stop) {
+            EXPECT_GE(command.grace_s, 2);
+            stopped.insert(command.id);
         }
     };
-    spot.interruption_notice_s = 20;
+    spot_machine.interruption_notice_s = 20;
     ASSERT_TRUE(cluster.run_until(
         [&] {
             return cluster.controller(0)
@@ -156,7 +158,7 @@
         },
         5));
     cluster.run_for(12);
-    EXPECT_TRUE(stopped.empty());  // not before it must be
+    EXPECT_TRUE(stopped.empty());  // not earlier than necessary
     cluster.run_for(6);
     EXPECT_EQ(stopped, (std::set<TaskId>{{"req-000001", 0}, {"req-000001", 1}}));
 }
