--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Gang scheduling: all tasks of a gang start, and are stopped, together.
+// Gang scheduling: all tasks of a gang are started and stopped together.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
@@ -6,7 +6,7 @@
 
 struct ThreeControllerGangSchedulingTest : ThreeControllerTest {};
 
-TEST_F(ThreeControllerGangSchedulingTest, AGangStartsWholeAlsoOnMachinesOfSeveralMembers) {
+TEST_F(ThreeControllerGangSchedulingTest, GangStartsAsAWholeOnMachinesOfSeveralOwners) {
     start_cluster(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
     gang.task_resources = {60, 8, 400};
@@ -16,7 +16,7 @@
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
 }
 
-TEST_F(ThreeControllerGangSchedulingTest, AGangThatLosesATaskIsStoppedAndStartedAgainWhole) {
+TEST_F(ThreeControllerGangSchedulingTest, GangThatLosesATaskIsRestartedAsAWhole) {
     cluster.workers.task_run_s = 60;
     start_cluster(3);
     auto gang = cluster.make_job(1, JobKind::gang, 3);
