--- a/tests/cancellation_deadline_test.cpp
+++ b/tests/cancellation_deadline_test.cpp
@@ -1,7 +1,7 @@
-// Cancellations: from the moment at which its user is told, no task of the job starts, and within
-// cancel_deadline_s all of them are gone, whatever else goes wrong. The simulated cluster checks
-// both after every step, except for a machine that hangs: whether that one was released is asked
-// here.
+// Deadlines of cancellations: from the moment at which one is confirmed to the user, no task of
+// the job starts, and within cancel_deadline_s all of its tasks are gone, whatever faults occur.
+// The simulated cluster checks both after every step, except on a hung machine: these tests check
+// that it is released.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -10,135 +10,141 @@
 namespace {
 
 struct CancellationDeadlineTest : HalfMachineJobTest {
-    void cancelled(int n, int node = 1) {
-        ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, job_uid(n))).state, "cancelled");
-        told = cluster.now();
+    void cancel_and_confirm(int number, int node = 1) {
+        ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(node, job_uid(number))).state, "cancelled");
+        confirmed_at_s = cluster.now();
     }
-    double left() const { return told + cluster.settings.cancel_deadline_s - cluster.now(); }
-    bool gone(const std::string& machine) { return cluster.machines[machine].deleted; }
-    double told = 0;
-    std::string doomed = "vm-50000a";
+    double seconds_to_deadline() const {
+        return confirmed_at_s + cluster.settings.cancel_deadline_s - cluster.now();
+    }
+    bool is_released(const std::string& machine) { return cluster.machines[machine].deleted; }
+    double confirmed_at_s = 0;
+    std::string zone_a_machine = "vm-50000a";
 };
 
-TEST_F(CancellationDeadlineTest, AMachineHangsThroughAnOutageThatIsLongerThanACancellationMayTake) {
-    // Nothing can be written down, so nobody can mark the machine; it must be released all the
-    // same, and only that one.
+TEST_F(CancellationDeadlineTest, HungMachineIsReleasedDuringAStoreOutageLongerThanTheDeadline) {
+    // Nothing can be written to the key-value store, so the machine can't be cordoned; it must be
+    // released all the same, and no other machine.
     run_job(1, JobKind::service, 1, "a");
     run_job(2, JobKind::service, 2, "b");
-    cluster.machines[doomed].is_hung = true;
-    cancelled(1);
+    cluster.machines[zone_a_machine].is_hung = true;
+    cancel_and_confirm(1);
     cluster.run_for(0.5);
     cluster.faults.store_down = true;
-    EXPECT_TRUE(cluster.run_until([&] { return gone(doomed); }, left()));
+    EXPECT_TRUE(
+        cluster.run_until([&] { return is_released(zone_a_machine); }, seconds_to_deadline()));
     cluster.run_for(cluster.settings.cancel_deadline_s);
     EXPECT_EQ(cluster.running_tasks(job_uid(2)), 2);
-    EXPECT_FALSE(gone("vm-50000b"));
-    EXPECT_FALSE(gone("vm-50000c"));
+    EXPECT_FALSE(is_released("vm-50000b"));
+    EXPECT_FALSE(is_released("vm-50000c"));
     cluster.faults.store_down = false;
     EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); },
-                                  60));  // proved by the second release
+                                  60));  // proved by the second release request
 }
 
-TEST_F(CancellationDeadlineTest, ItsReleaseIsNotConfirmedAndThenTheStateServiceIsOut) {
+TEST_F(CancellationDeadlineTest, UnconfirmedReleaseIsCompletedDuringAStoreOutage) {
     run_job(1, JobKind::service, 1, "a");
-    cluster.machines[doomed].is_hung = true;
+    cluster.machines[zone_a_machine].is_hung = true;
     cluster.faults.cloud_down = true;
-    cancelled(1);
+    cancel_and_confirm(1);
     ASSERT_TRUE(cluster.run_until([&] { return !cluster.store.keys("c/x/").empty(); },
                                   0.8 * cluster.settings.cancel_deadline_s));
     cluster.faults.store_down = true;
     cluster.run_for(2);
     cluster.faults.cloud_down = false;
-    EXPECT_TRUE(cluster.run_until([&] { return gone(doomed); }, left()));
+    EXPECT_TRUE(
+        cluster.run_until([&] { return is_released(zone_a_machine); }, seconds_to_deadline()));
 }
 
-TEST_F(CancellationDeadlineTest, TheOwnerOfAMachineThatHangsEndsAtAnyMoment) {
-    int n = 0;
-    for (double after_s : {-1.0, 0.2, 5.0, 17.0, 18.0, 22.0}) {
-        run_job(++n, JobKind::service, 1, "a");
-        auto machine = cluster.machines_running(job_uid(n)).front();
+TEST_F(CancellationDeadlineTest, HungMachineIsReleasedWheneverItsOwnerFails) {
+    int number = 0;
+    for (double failure_delay_s : {-1.0, 0.2, 5.0, 17.0, 18.0, 22.0}) {
+        run_job(++number, JobKind::service, 1, "a");
+        auto machine = cluster.machines_running(job_uid(number)).front();
         int owner = owner_of(machine);
         ASSERT_GE(owner, 0);
         cluster.machines[machine].is_hung = true;
-        int other = (owner + 1) % 3;
-        if (after_s < 0) {
+        int other_node = (owner + 1) % 3;
+        if (failure_delay_s < 0) {
             cluster.kill(owner);
         }
-        cancelled(n, other);
-        cluster.run_for(std::max(0.0, after_s));
+        cancel_and_confirm(number, other_node);
+        cluster.run_for(std::max(0.0, failure_delay_s));
         cluster.kill(owner);
         cluster.run_for(0.3);
         cluster.start(owner);
-        EXPECT_TRUE(cluster.run_until([&] { return gone(machine); }, left())) << after_s;
+        EXPECT_TRUE(cluster.run_until([&] { return is_released(machine); }, seconds_to_deadline()))
+            << failure_delay_s;
         ASSERT_TRUE(cluster.run_until(
-            [&] { return cluster.is_finished(job_uid(n)) && cluster.all_members(3); }, 60));
+            [&] { return cluster.is_finished(job_uid(number)) && cluster.all_members(3); }, 60));
     }
 }
 
-TEST_F(CancellationDeadlineTest, JobsAreCancelledWhileTheWorkOfOneControllerChangesHands) {
-    int n = 0;
-    for (double after_s : {0.0, 0.5, 1.5, 2.8, 3.2, 4.0, 6.0}) {
-        run_job(++n, JobKind::service, 3);
-        cluster.kill(n % 3);
-        cluster.run_for(after_s);
-        cancelled(n, (n + 1) % 3);
+TEST_F(CancellationDeadlineTest, JobsAreCancelledInTimeDuringAFailover) {
+    int number = 0;
+    for (double cancel_delay_s : {0.0, 0.5, 1.5, 2.8, 3.2, 4.0, 6.0}) {
+        run_job(++number, JobKind::service, 3);
+        cluster.kill(number % 3);
+        cluster.run_for(cancel_delay_s);
+        cancel_and_confirm(number, (number + 1) % 3);
         cluster.run_for(1);
-        cluster.start(n % 3);
-        EXPECT_TRUE(
-            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == 0; }, left()));
+        cluster.start(number % 3);
+        EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(number)) == 0; },
+                                      seconds_to_deadline()));
         ASSERT_TRUE(cluster.run_until(
-            [&] { return cluster.is_finished(job_uid(n)) && cluster.all_members(3); }, 60));
+            [&] { return cluster.is_finished(job_uid(number)) && cluster.all_members(3); }, 60));
         cluster.run_for(1);
     }
 }
 
-TEST_F(CancellationDeadlineTest, NothingIsStartedByWhoMayNotKnowOfIt) {
-    // Claimed by another, and its owner was cut from the state service and its peers before the
-    // machine reported: it answers its workers for a while yet, but starts nothing.
+TEST_F(CancellationDeadlineTest, IsolatedOwnerStartsNoTaskOfACancelledJob) {
+    // Another controller wrote the claim, and the machine's owner lost the key-value store and its
+    // peers before the machine's next heartbeat: for a while the owner still answers its workers,
+    // but it must start nothing.
     auto gang = cluster.make_job(1, JobKind::gang, 3);
     gang.task_resources = {60, 8, 400};
-    cluster.machines[doomed].loses_heartbeats = true;
-    cluster.machines[doomed].only_node = 0;
+    cluster.machines[zone_a_machine].loses_heartbeats = true;
+    cluster.machines[zone_a_machine].only_node = 0;
     ASSERT_EQ(cluster.submit_and_wait(1, gang).status, 201);
     ASSERT_TRUE(cluster.run_until(
         [&] { return cluster.store.find("c/b/" + job_uid(1) + "/0") != nullptr; }, 10));
     cluster.run_for(0.2);
     cluster.faults.nodes_refused_by_store = {0};
     cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
-    cancelled(1);
+    cancel_and_confirm(1);
     cluster.run_for(3);
-    int started = 0;
-    cluster.workers.on_command = [&](const std::string&, const Command& c) {
-        started += c.kind == Command::Kind::start ? 1 : 0;
+    int starts = 0;
+    cluster.workers.on_command = [&](const std::string&, const Command& command) {
+        starts += command.kind == Command::Kind::start ? 1 : 0;
     };
-    cluster.machines[doomed].loses_heartbeats = false;
-    cluster.machines[doomed].target_node = 0;
+    cluster.machines[zone_a_machine].loses_heartbeats = false;
+    cluster.machines[zone_a_machine].target_node = 0;
     cluster.run_for(10);
-    EXPECT_EQ(started, 0);
+    EXPECT_EQ(starts, 0);
     cluster.run_for(cluster.settings.cancel_deadline_s);
 }
 
-TEST_F(CancellationDeadlineTest, ItsMachineReachesNobodyButIsReached) {
-    // Workers can't open connections to any controller, while direct commands still arrive.
+TEST_F(CancellationDeadlineTest, TasksAreKilledByDirectCommandsWhileHeartbeatsAreLost) {
+    // The workers' heartbeats reach no controller, while direct commands reach the workers.
     run_job(1, JobKind::service, 2, "a");
     run_job(2, JobKind::service, 1, "b");
-    for (auto& [name, m] : cluster.machines) {
-        m.loses_heartbeats = true;
+    for (auto& [name, worker] : cluster.machines) {
+        worker.loses_heartbeats = true;
     }
     cluster.run_for(4);
-    cancelled(1);
+    cancel_and_confirm(1);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 0; },
-                                  3));  // killed directly
+                                  3));  // killed by a direct command
     cluster.run_for(cluster.settings.lease_s +
-                    20);  // its lease is over: the other task has to start anew
-    for (auto& [name, m] : cluster.machines) {
-        m.loses_heartbeats = false;
+                    20);  // its lease has expired: the other task must be restarted
+    for (auto& [name, worker] : cluster.machines) {
+        worker.loses_heartbeats = false;
     }
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(2)) == 1; }, 60));
     EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 60));
 }
 
-// Both teams are at their limits, on machines of all zones.
+// Both teams are at their limits, with tasks on machines of all zones.
 struct QuotaCancellationTest : CancellationDeadlineTest {
     void SetUp() override {
         cluster.workers.task_run_s = 1000;
@@ -148,33 +154,33 @@
             cluster.add_machine(std::string("vm-50000") + zone, zone);
         }
         start_cluster(3);
-        fill(1, "red", 2);
-        fill(2, "blue", 4);
+        run_team_job(1, "red", 2);
+        run_team_job(2, "blue", 4);
     }
-    void fill(int n, const char* team, int tasks) {
-        auto s = cluster.make_job(n, JobKind::service, tasks);
-        s.task_resources = {30, 4, 200};
-        s.team = team;
-        ASSERT_EQ(cluster.submit_and_wait(1, s).status, 201);
+    void run_team_job(int number, const char* team, int tasks) {
+        auto spec = cluster.make_job(number, JobKind::service, tasks);
+        spec.task_resources = {30, 4, 200};
+        spec.team = team;
+        ASSERT_EQ(cluster.submit_and_wait(1, spec).status, 201);
         ASSERT_TRUE(
-            cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == tasks; }, 60));
+            cluster.run_until([&] { return cluster.running_tasks(job_uid(number)) == tasks; }, 60));
     }
-    void submit_next(int n, const char* team, int tasks) {
-        auto s = cluster.make_job(n, JobKind::service, tasks);
-        s.task_resources = {30, 4, 200};
-        s.team = team;
-        cluster.submit(1, s);
+    void submit_team_job(int number, const char* team, int tasks) {
+        auto spec = cluster.make_job(number, JobKind::service, tasks);
+        spec.task_resources = {30, 4, 200};
+        spec.team = team;
+        cluster.submit(1, spec);
     }
-    // Cancels all that runs while some machines can't be asked and the leader changes; what waits
-    // for the limits starts only as they are given back.
-    void changes(const std::function<void(FakeWorker&)>& trouble) {
-        submit_next(3, "red", 2);
-        submit_next(4, "blue", 4);
+    // Cancels all running jobs while the machines of two zones are faulty and the leader changes;
+    // the pending jobs start only as the cancelled ones free their teams' quota.
+    void cancel_all_with_faulty_machines(const std::function<void(FakeWorker&)>& inject_fault) {
+        submit_team_job(3, "red", 2);
+        submit_team_job(4, "blue", 4);
         cluster.run_for(3);
-        trouble(cluster.machines["vm-50000a"]);
-        trouble(cluster.machines["vm-50000b"]);
-        cancelled(1);
-        cancelled(2);
+        inject_fault(cluster.machines["vm-50000a"]);
+        inject_fault(cluster.machines["vm-50000b"]);
+        cancel_and_confirm(1);
+        cancel_and_confirm(2);
         cluster.kill(0);
         cluster.run_for(2);
         cluster.start(0);
@@ -187,41 +193,41 @@
     }
 };
 
-TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsHang) {
-    changes([](FakeWorker& m) { m.is_hung = true; });
+TEST_F(QuotaCancellationTest, QuotaOfCancelledJobsIsReusedWhenTheirMachinesHang) {
+    cancel_all_with_faulty_machines([](FakeWorker& worker) { worker.is_hung = true; });
 }
 
-TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsAreCutOff) {
-    changes([](FakeWorker& m) { m.is_unreachable = true; });
+TEST_F(QuotaCancellationTest, QuotaOfCancelledJobsIsReusedWhenTheirMachinesAreUnreachable) {
+    cancel_all_with_faulty_machines([](FakeWorker& worker) { worker.is_unreachable = true; });
 }
 
-TEST_F(QuotaCancellationTest, EveryTeamIsAtItsLimitAndTheMachinesOfCancelledJobsDoNotHear) {
-    changes([](FakeWorker& m) { m.loses_replies = true; });
+TEST_F(QuotaCancellationTest, QuotaOfCancelledJobsIsReusedWhenTheirMachinesLoseReplies) {
+    cancel_all_with_faulty_machines([](FakeWorker& worker) { worker.loses_replies = true; });
 }
 
-TEST_F(CancellationDeadlineTest, OneTaskJobsComeFourASecondAndAQuarterIsCancelled) {
+TEST_F(CancellationDeadlineTest, FourSingleTaskJobsPerSecondOfWhichAQuarterIsCancelled) {
     cluster.workers.task_run_s = 6;
     cluster.run_for(1);
-    constexpr int jobs = 240;
-    for (int n = 1; n <= jobs; ++n) {
-        auto s = cluster.make_job(n);
-        s.task_resources = {1, 0.1, 1};
-        cluster.submit(n % 3, s);
-        if (n % 4 == 0) {
-            cluster.cancel((n + 1) % 3, job_uid(n - n % 8));
+    constexpr int job_count = 240;
+    for (int number = 1; number <= job_count; ++number) {
+        auto spec = cluster.make_job(number);
+        spec.task_resources = {1, 0.1, 1};
+        cluster.submit(number % 3, spec);
+        if (number % 4 == 0) {
+            cluster.cancel((number + 1) % 3, job_uid(number - number % 8));
         }
-        if (n == 80 || n == 160) {
-            cluster.kill(n / 80 % 3);
+        if (number == 80 || number == 160) {
+            cluster.kill(number / 80 % 3);
         }
-        if (n == 90 || n == 170) {
-            cluster.start(n / 80 % 3);
+        if (number == 90 || number == 170) {
+            cluster.start(number / 80 % 3);
         }
         cluster.run_for(0.25);
     }
     cluster.run_for(20);
-    for (int n = 1; n <= jobs; ++n) {
-        EXPECT_TRUE(!cluster.is_accepted(job_uid(n)) || cluster.is_finished(job_uid(n)))
-            << job_uid(n);
+    for (int number = 1; number <= job_count; ++number) {
+        EXPECT_TRUE(!cluster.is_accepted(job_uid(number)) || cluster.is_finished(job_uid(number)))
+            << job_uid(number);
     }
 }
 
