--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -1,6 +1,6 @@
-// Faults round a change of leader: who owns machines and who acts for whom changes while reports
-// are old, writes lag, machines come and go, or there is more work than room. Every rule is checked
-// after every step; at the end nobody is left waiting while there is room.
+// Faults around a change of leader: owners and leader change while heartbeats are outdated, writes
+// are delayed, machines appear and disappear, or more jobs are submitted than fit. All invariants
+// are checked after every step; at the end no job may wait while there are free resources.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -9,7 +9,7 @@
 namespace {
 
 struct LeaderChangeTest : HalfMachineJobTest {
-    int leader() {
+    int leader_node() {
         for (int i = 0; i < 3; ++i) {
             if (cluster.is_alive(i) && cluster.controller(i).context().is_member) {
                 const auto& epoch = cluster.controller(i).context().jobs.epoch();
@@ -18,7 +18,7 @@
         }
         return 0;
     }
-    void back() {
+    void restart_stopped_controllers() {
         for (int i = 0; i < 3; ++i) {
             if (!cluster.is_alive(i)) {
                 cluster.start(i);
@@ -26,26 +26,26 @@
         }
         ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 30));
     }
-    // Submits a job whose tasks take a share of a machine's eight parts; users try again.
-    void submit(int n, JobKind kind, int tasks, double parts, const char* zone = nullptr) {
-        auto s = cluster.make_job(n, kind, tasks);
-        s.task_resources = {7 * parts, parts, 50 * parts};
+    // Submits a job whose tasks take `gpus` of a machine's eight GPUs, with retries as users do.
+    void submit(int number, JobKind kind, int tasks, double gpus, const char* zone = nullptr) {
+        auto spec = cluster.make_job(number, kind, tasks);
+        spec.task_resources = {7 * gpus, gpus, 50 * gpus};
         if (zone != nullptr) {
-            s.zone = zone;
+            spec.zone = zone;
         }
-        for (int tries = 0; tries < 30 && !cluster.is_accepted(s.uid); ++tries) {
-            int node = (n + tries) % 3;
+        for (int tries = 0; tries < 30 && !cluster.is_accepted(spec.uid); ++tries) {
+            int node = (number + tries) % 3;
             if (cluster.is_alive(node)) {
-                cluster.wait_for_reply(cluster.submit(node, s));
+                cluster.wait_for_reply(cluster.submit(node, spec));
             }
-            cluster.run_for(cluster.is_accepted(s.uid) ? 0 : 1);
+            cluster.run_for(cluster.is_accepted(spec.uid) ? 0 : 1);
         }
-        ASSERT_TRUE(cluster.is_accepted(s.uid));
-        jobs.push_back(s.uid);
+        ASSERT_TRUE(cluster.is_accepted(spec.uid));
+        job_uids.push_back(spec.uid);
     }
-    // 90 s after the troubles nobody waits for whom there is room; here there is for everybody.
-    void nobody_waits() {
-        for (const auto& uid : jobs) {
+    // 90 s after the faults no job that fits may still wait; in these tests every job fits.
+    void expect_no_job_waits() {
+        for (const auto& uid : job_uids) {
             EXPECT_TRUE(cluster.run_until(
                 [&] {
                     return cluster.is_finished(uid) ||
@@ -56,46 +56,45 @@
             EXPECT_EQ(cluster.poll_and_wait(1, uid).status, 200) << uid;
         }
     }
-    std::vector<std::string> jobs;
+    std::vector<std::string> job_uids;
 };
 
-TEST_F(LeaderChangeTest, MachinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
+TEST_F(LeaderChangeTest, QuicklyBootedMachinesRunTasksDespiteDelayedWritesAndLeaderFailures) {
     cluster.workers.task_run_s = 15;
     cluster.cloud.boot_s = 1.5;
-    cluster.cloud.list_lag_s = 8;  // running and at work before anybody lists them
+    cluster.cloud.list_lag_s = 8;  // they run tasks before any list contains them
     cluster.faults.delayed_transaction_probability = 0.25;
-    for (int n = 1; n <= 12; ++n) {
-        submit(n, n % 3 == 0 ? JobKind::gang : JobKind::array, 2, 6);
-        if (n % 4 == 0) {
-            cluster.kill(leader());
+    for (int number = 1; number <= 12; ++number) {
+        submit(number, number % 3 == 0 ? JobKind::gang : JobKind::array, 2, 6);
+        if (number % 4 == 0) {
+            cluster.kill(leader_node());
             cluster.run_for(1);
         }
-        back();
+        restart_stopped_controllers();
     }
     cluster.faults.delayed_transaction_probability = 0;
-    nobody_waits();
+    expect_no_job_waits();
 }
 
-TEST_F(LeaderChangeTest, OldReportsReachEveryControllerJustAsANewLeaderBegins) {
+TEST_F(LeaderChangeTest, OutdatedHeartbeatsReachEveryControllerDuringALeaderChange) {
     cluster.workers.task_run_s = 8;
     cluster.faults.recorded_heartbeat_probability = 0.5;
-    for (int n = 1; n <= 12; ++n) {
-        submit(n, JobKind::array, 3, 2);
+    for (int number = 1; number <= 12; ++number) {
+        submit(number, JobKind::array, 3, 2);
         cluster.run_for(3);
-        int old = leader();
-        cluster.kill(old);
-        ASSERT_TRUE(cluster.run_until([&] { return leader() != old; }, 15));
-        cluster.replay_recorded_heartbeats();  // of before, of jobs that were over then or have
-                                               // restarted since
+        int old_leader = leader_node();
+        cluster.kill(old_leader);
+        ASSERT_TRUE(cluster.run_until([&] { return leader_node() != old_leader; }, 15));
+        cluster.replay_recorded_heartbeats();  // outdated: their jobs have ended or restarted since
         cluster.run_for(0.5);
         cluster.replay_recorded_heartbeats();
-        back();
+        restart_stopped_controllers();
     }
     cluster.faults.recorded_heartbeat_probability = 0;
-    nobody_waits();
+    expect_no_job_waits();
 }
 
-TEST_F(LeaderChangeTest, EveryControllerIsAwayForLongerThanALease) {
+TEST_F(LeaderChangeTest, AllControllersAreDownForLongerThanALease) {
     cluster.workers.task_run_s = 40;
     submit(1, JobKind::service, 3, 4);
     submit(2, JobKind::array, 4, 2);
@@ -107,21 +106,21 @@
         cluster.kill(i);
     }
     cluster.run_for(cluster.settings.lease_s + 8);
-    EXPECT_EQ(cluster.running_tasks(job_uid(1)), 0);  // every lease is over
+    EXPECT_EQ(cluster.running_tasks(job_uid(1)), 0);  // every lease has expired
     cluster.start(2);
     cluster.run_for(5);
-    back();
-    nobody_waits();
+    restart_stopped_controllers();
+    expect_no_job_waits();
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 3; }, 60));
 }
 
-TEST_F(LeaderChangeTest, TheLeaderChangesTenTimesInTwoMinutesAlsoInsideAnOutage) {
+TEST_F(LeaderChangeTest, TenLeaderChangesInTwoMinutesIncludingAStoreOutage) {
     cluster.workers.task_run_s = 30;
     submit(1, JobKind::service, 3, 2);
     for (int change = 0; change < 10; ++change) {
         submit(10 + change, change % 2 == 0 ? JobKind::array : JobKind::gang, 2, 2);
         cluster.faults.store_down = change == 4 || change == 5;
-        cluster.kill(leader());
+        cluster.kill(leader_node());
         cluster.run_for(1 + change % 3);
         for (int i = 0; i < 3; ++i) {
             if (!cluster.is_alive(i)) {
@@ -134,43 +133,43 @@
             cluster.cancel((change + 1) % 3, job_uid(10 + change));
         }
     }
-    back();
-    nobody_waits();
+    restart_stopped_controllers();
+    expect_no_job_waits();
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 3; }, 60));
 }
 
-TEST_F(LeaderChangeTest, JobsBoundToOneZoneLoseMachines) {
+TEST_F(LeaderChangeTest, JobsRestrictedToOneZoneLoseMachines) {
     cluster.workers.task_run_s = 25;
     submit(1, JobKind::array, 6, 4, "a");
     submit(2, JobKind::gang, 2, 4, "a");
     submit(3, JobKind::service, 2, 2, "b");
-    for (int turn = 0; turn < 3; ++turn) {
+    for (int round = 0; round < 3; ++round) {
         cluster.run_for(12);
-        int lost = 0;
-        for (auto& [name, m] : cluster.machines) {
-            if (!m.deleted && m.info.zone != "c" && lost++ == turn) {
-                m.deleted = true;  // without notice
-                m.tasks.clear();
+        int candidates = 0;
+        for (auto& [name, worker] : cluster.machines) {
+            if (!worker.deleted && worker.info.zone != "c" && candidates++ == round) {
+                worker.deleted = true;  // without notice
+                worker.tasks.clear();
             }
         }
-        cluster.kill(turn);
+        cluster.kill(round);
         cluster.run_for(4);
-        back();
+        restart_stopped_controllers();
     }
-    nobody_waits();
+    expect_no_job_waits();
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(3)) == 2; }, 60));
 }
 
-TEST_F(LeaderChangeTest, AZoneWithItsControllerIsCutOffForLongerThanALease) {
+TEST_F(LeaderChangeTest, ZoneWithItsControllerIsPartitionedForLongerThanALease) {
     cluster.workers.task_run_s = 60;
     submit(1, JobKind::service, 3, 3, "c");
     submit(2, JobKind::array, 4, 3);
     cluster.run_for(10);
-    // Inside, workers and their controller go on; nothing else reaches them.
+    // Within the zone, workers and their controller still communicate; nothing else reaches them.
     cluster.faults.nodes_refused_by_store = {2};
     cluster.faults.cut_peer_links = {{0, 2}, {1, 2}};
-    for (auto& [name, m] : cluster.machines) {
-        m.only_node = m.info.zone == "c" ? 2 : -1;
+    for (auto& [name, worker] : cluster.machines) {
+        worker.only_node = worker.info.zone == "c" ? 2 : -1;
     }
     cluster.run_for(6);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(0, job_uid(1))).state, "cancelled");
@@ -178,47 +177,48 @@
     EXPECT_EQ(cluster.running_tasks(job_uid(1)), 0);
     cluster.faults.nodes_refused_by_store.clear();
     cluster.faults.cut_peer_links.clear();
-    for (auto& [name, m] : cluster.machines) {
-        m.only_node = -1;
+    for (auto& [name, worker] : cluster.machines) {
+        worker.only_node = -1;
     }
-    back();
-    nobody_waits();
+    restart_stopped_controllers();
+    expect_no_job_waits();
 }
 
-TEST_F(LeaderChangeTest, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
+TEST_F(LeaderChangeTest, JobsOfAllPrioritiesExceedCapacityOverSlowLinks) {
     cluster.workers.task_run_s = 10;
     std::vector<JobSpec> specs;
     cluster.cloud.capacity = 5;
     cluster.simulation.slow_message_probability = 0.15;
     cluster.users.verify_each_reply = true;
-    for (int n = 1; n <= 24; ++n) {
-        auto s = cluster.make_job(n, n % 4 == 0 ? JobKind::gang : JobKind::array, 1 + n % 3);
-        s.task_resources = {21, 3, 150};
-        s.priority = std::array{Priority::best_effort, Priority::normal, Priority::high,
-                                Priority::production}[static_cast<std::size_t>(n % 4)];
-        s.image = "img-0" + std::to_string(n % 3);
-        cluster.submit(n % 3, s);
-        specs.push_back(s);
-        if (n % 5 == 0) {
-            cluster.cancel((n + 1) % 3, job_uid(n - 1));
+    for (int number = 1; number <= 24; ++number) {
+        auto spec = cluster.make_job(number, number % 4 == 0 ? JobKind::gang : JobKind::array,
+                                     1 + number % 3);
+        spec.task_resources = {21, 3, 150};
+        spec.priority = std::array{Priority::best_effort, Priority::normal, Priority::high,
+                                   Priority::production}[static_cast<std::size_t>(number % 4)];
+        spec.image = "img-0" + std::to_string(number % 3);
+        cluster.submit(number % 3, spec);
+        specs.push_back(spec);
+        if (number % 5 == 0) {
+            cluster.cancel((number + 1) % 3, job_uid(number - 1));
         }
-        if (n == 12) {
-            cluster.kill(leader());
+        if (number == 12) {
+            cluster.kill(leader_node());
         }
         cluster.run_for(1.5);
-        if (n == 16) {
-            back();
+        if (number == 16) {
+            restart_stopped_controllers();
         }
     }
     cluster.simulation.slow_message_probability = 0;
     cluster.users.verify_each_reply = false;
     cluster.run_for(5);
-    for (const auto& spec : specs) {  // as users do who had no answer
-        auto again = cluster.submit_and_wait(0, spec);
-        EXPECT_TRUE(again.status == 200 || again.status == 201);
-        jobs.push_back(spec.uid);
+    for (const auto& spec : specs) {  // as users do who got no reply
+        auto reply = cluster.submit_and_wait(0, spec);
+        EXPECT_TRUE(reply.status == 200 || reply.status == 201);
+        job_uids.push_back(spec.uid);
     }
-    nobody_waits();
+    expect_no_job_waits();
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -6,7 +6,7 @@
 
 struct ThreeControllerMembershipTest : ThreeControllerTest {};
 
-TEST_F(ThreeControllerMembershipTest, ARestartedProcessJoinsAsANewMemberInANewEpoch) {
+TEST_F(ThreeControllerMembershipTest, RestartedProcessJoinsAsANewMemberInANewEpoch) {
     start_cluster(3);
     Epoch before = *cluster.controller(0).context().jobs.epoch();
     cluster.kill(1);
@@ -19,11 +19,11 @@
     EXPECT_EQ(after.find("n0")->id, before.find("n0")->id);
 }
 
-TEST_F(ThreeControllerMembershipTest, EveryTransactionOfWorkIsConditionalOnTheEpoch) {
+TEST_F(ThreeControllerMembershipTest, DelayedTransactionOfAnOldEpochFails) {
     start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 2));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 2; }, 30));
-    // The epoch moves on: whatever was under way under the old one must die.
+    // The epoch changes: a transaction in flight from the old epoch must fail.
     cluster.faults.delayed_transaction_probability = 1;
     cluster.submit(0, cluster.make_job(2));
     cluster.faults.delayed_transaction_probability = 0;
@@ -34,38 +34,39 @@
     ASSERT_FALSE(cluster.store.conflicting_transactions.empty());
 }
 
-TEST_F(ThreeControllerMembershipTest, ADeadMemberIsRemovedAndItsMachinesAreAdopted) {
+TEST_F(ThreeControllerMembershipTest, FailedMemberIsRemovedAndItsMachinesAreAdopted) {
     start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
-    auto places = cluster.machines_running("req-000001");
+    auto machines = cluster.machines_running("req-000001");
     const Member* owner = nullptr;
     for (int i = 0; i < 3; ++i) {
-        if (cluster.controller(i).agent_manager().registry().adopted(places[0])) {
+        if (cluster.controller(i).agent_manager().registry().adopted(machines[0])) {
             owner =
                 cluster.controller(i).context().jobs.epoch()->find(SimulatedCluster::node_name(i));
         }
     }
     ASSERT_NE(owner, nullptr);
-    int dead = std::stoi(owner->name.substr(1));
-    cluster.kill(dead);
-    int adopted = 0;
+    int failed_node = std::stoi(owner->name.substr(1));
+    cluster.kill(failed_node);
+    int adoptions = 0;
     ASSERT_TRUE(cluster.run_until(
         [&] {
-            adopted = 0;
+            adoptions = 0;
             for (int i = 0; i < 3; ++i) {
-                adopted +=
-                    i != dead && cluster.controller(i).agent_manager().registry().adopted(places[0])
+                adoptions +=
+                    i != failed_node &&
+                            cluster.controller(i).agent_manager().registry().adopted(machines[0])
                         ? 1
                         : 0;
             }
-            return adopted == 1;
+            return adoptions == 1;
         },
         15));
-    EXPECT_EQ(cluster.running_tasks("req-000001"), 3);  // nothing was restarted for it
+    EXPECT_EQ(cluster.running_tasks("req-000001"), 3);  // no task was restarted
 }
 
-TEST_F(ThreeControllerMembershipTest, ANodeRefusedByTheStateServiceAloneStopsAnsweringItsWorkers) {
+TEST_F(ThreeControllerMembershipTest, NodeRefusedByTheStoreStopsAnsweringItsWorkers) {
     start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
@@ -78,12 +79,12 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 0; }, 30));
 }
 
-TEST_F(ThreeControllerMembershipTest, ANodeThatWasRefusedIsBackAtOnceWhenItIsServedAgain) {
-    // Incident inc-6e4f: its open watch was not served any more, and it joined only when the time
-    // of that watch was over.
+TEST_F(ThreeControllerMembershipTest, RefusedNodeRejoinsAtOnceWhenTheStoreServesItAgain) {
+    // Guards against a delayed rejoin (incident inc-6e4f): the node's open watch received no more
+    // events, and the node rejoined only when that watch timed out.
     start_cluster(3);
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status,
-              201);  // its watch is a fresh one
+              201);  // its watch has just been opened
     cluster.run_for(0.1);
     cluster.faults.nodes_refused_by_store = {1};
     ASSERT_TRUE(cluster.run_until(
@@ -93,22 +94,22 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.all_members(3); }, 2));
 }
 
-TEST_F(ThreeControllerMembershipTest, DuringACommonOutageWorkersAreStillAnswered) {
+TEST_F(ThreeControllerMembershipTest, WorkersAreStillAnsweredWhileTheStoreIsDownForAllNodes) {
     start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
-    auto before = cluster.machines_running("req-000001");
+    auto machines_before = cluster.machines_running("req-000001");
     cluster.faults.store_down = true;
-    cluster.run_for(60);  // longer than the workers' leases
-    EXPECT_EQ(cluster.machines_running("req-000001"), before);
+    cluster.run_for(60);  // longer than the workers' leases last
+    EXPECT_EQ(cluster.machines_running("req-000001"), machines_before);
     cluster.faults.store_down = false;
     cluster.run_for(5);
     EXPECT_TRUE(cluster.all_members(3));
 }
 
-TEST_F(ThreeControllerMembershipTest, AZoneThatIsCutOffForAWhileLosesNoMachines) {
-    // Found in a grown day: a zone was cut off for little longer than its leases last, and every
-    // machine in it was released.
+TEST_F(ThreeControllerMembershipTest, BrieflyPartitionedZoneLosesNoMachines) {
+    // Guards against the release of a whole zone: a zone was partitioned for slightly longer than
+    // the workers' leases last, and every machine in it was released.
     for (int i = 0; i < 36; ++i) {
         cluster.add_machine(fmt::format("vm-{:06}", 500000 + i), cluster.settings.zones[i % 3U]);
     }
@@ -118,11 +119,11 @@
         cluster.submit_and_wait(i % 3, cluster.make_job(i + 1, JobKind::service, 8));
     }
     cluster.run_for(15);
-    auto cut = [&](bool on) {
-        for (auto& [name, m] : cluster.machines) {
-            m.is_unreachable = on && m.info.zone == "a";
+    auto set_partition = [&](bool is_partitioned) {
+        for (auto& [name, worker] : cluster.machines) {
+            worker.is_unreachable = is_partitioned && worker.info.zone == "a";
         }
-        if (on) {
+        if (is_partitioned) {
             cluster.faults.nodes_refused_by_store.insert(0);
             cluster.faults.nodes_cut_from_workers.insert(0);
             cluster.faults.cut_peer_links = {{0, 1}, {0, 2}};
@@ -132,17 +133,17 @@
             cluster.faults.cut_peer_links.clear();
         }
     };
-    cut(true);
+    set_partition(true);
     cluster.run_for(cluster.settings.lease_s + 15);
     EXPECT_EQ(cluster.store.writes_by_kind["c/x"], 0);
-    cut(false);
+    set_partition(false);
     cluster.run_for(20);
     EXPECT_EQ(cluster.cloud.machine_count(), 36);
     for (int i = 0; i < 36; ++i) {
         EXPECT_EQ(cluster.running_tasks(fmt::format("req-{:06}", i + 1)), 8);
     }
-    // A zone that stays away is given up in the end.
-    cut(true);
+    // The machines of a zone that stays partitioned are released eventually.
+    set_partition(true);
     EXPECT_TRUE(cluster.run_until([&] { return cluster.cloud.machine_count() <= 24; },
                                   cluster.settings.cancel_deadline_s + 60));
 }
