--- a/tests/dependent_job_test.cpp
+++ b/tests/dependent_job_test.cpp
@@ -7,7 +7,7 @@
 namespace cranemoor::test {
 namespace {
 
-TEST_F(DependentJobTest, AJobStartsOnlyWhenAllThatItFollowsAreDone) {
+TEST_F(DependentJobTest, JobStartsOnlyWhenAllDependenciesAreDone) {
     start_cluster(3);
     cluster.workers.task_run_s = 5;
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 3)).status, 201);
@@ -15,17 +15,17 @@
     ASSERT_EQ(cluster.submit_and_wait(2, dependent_job(3, {1, 2})).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 3; }, 30));
     EXPECT_EQ(cluster.poll_and_wait(0, job_uid(2)).state, "queued");
-    // While they wait they claim nothing: their blocks are not there.
+    // Waiting jobs claim nothing: they have no blocks.
     EXPECT_EQ(cluster.store.find("c/b/" + job_uid(2) + "/0"), nullptr);
     ASSERT_TRUE(cluster.run_until([&] { return is_job_finished(3); }, 60));
     EXPECT_TRUE(is_job_finished(1) && is_job_finished(2));
-    // Submitted when the others are over, it is a job like any other.
+    // A job submitted after its dependencies are done is an ordinary job.
     ASSERT_EQ(cluster.submit_and_wait(0, dependent_job(4, {1, 3})).status, 201);
     EXPECT_EQ(cluster.store.find("c/j/" + job_uid(4)), nullptr);
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(4); }, 60));
 }
 
-TEST_F(DependentJobTest, WhatAJobFollowsIsForgottenByNoRestart) {
+TEST_F(DependentJobTest, DependenciesSurviveRestart) {
     start_cluster(3);
     cluster.workers.task_run_s = 5;
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
@@ -41,8 +41,8 @@
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(2); }, 60));
 }
 
-TEST_F(DependentJobTest, FollowedJobsMustHaveBeenAccepted) {
-    // Final states are moved at once, and are in no memory then.
+TEST_F(DependentJobTest, DependenciesMustHaveBeenAccepted) {
+    // Final states are moved at once, and are in no local replica then.
     cluster.tunables.final_states_max = 0;
     start_cluster(3);
     cluster.workers.task_run_s = 1;
@@ -64,33 +64,34 @@
     cluster.run_for(1);
     EXPECT_EQ(cluster.submit_and_wait(1, dependent_job(4, {2, 3})).status, 201);
     EXPECT_EQ(cluster.submit_and_wait(1, dependent_job(5, {2, 9})).status, 422);
-    EXPECT_EQ(cluster.submit_and_wait(1, dependent_job(4, {9})).status, 200);  // known goes first
+    EXPECT_EQ(cluster.submit_and_wait(1, dependent_job(4, {9})).status,
+              200);  // known jobs go first
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(4); }, 60));
-    // What can't be looked up is no reason to refuse for good.
+    // A dependency that cannot be looked up is no reason for a permanent refusal.
     cluster.faults.store_down = true;
     cluster.run_for(0.1);
     EXPECT_EQ(cluster.submit_and_wait(2, dependent_job(6, {2, 9})).status, 503);
 }
 
-TEST_F(DependentJobTest, AJobWhoseFollowedOneWasMovedAwayMeanwhileStarts) {
-    // Guards against a job that waits for ever: what it follows ends and its final state leaves
-    // every memory before the job's record is seen.
+TEST_F(DependentJobTest, JobStartsAfterFinalStateOfDependencyWasMoved) {
+    // Guards against a job that waits forever: its dependency ends, and the dependency's final
+    // state has left every local replica before the job's record is seen.
     cluster.tunables.final_states_max = 0;
     start_cluster(3);
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
     ASSERT_TRUE(
         cluster.run_until([&] { return cluster.store.find("f/" + job_uid(1)) != nullptr; }, 60));
-    JobRecord late;
-    late.spec = dependent_job(2, {1});
-    late.submitted_wall = 1.7e9 + cluster.now();
-    late.block_size = 34;
-    late.waiting = true;
-    cluster.users.add_submitted(late.spec);
-    cluster.store.put("c/j/" + job_uid(2), encode(late));
+    JobRecord dependent;
+    dependent.spec = dependent_job(2, {1});
+    dependent.submitted_wall = 1.7e9 + cluster.now();
+    dependent.block_size = 34;
+    dependent.waiting = true;
+    cluster.users.add_submitted(dependent.spec);
+    cluster.store.put("c/j/" + job_uid(2), encode(dependent));
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(2); }, 60));
 }
 
-TEST_F(DependentJobTest, ACancellationIsHandedOnToAllThatNeedTheJob) {
+TEST_F(DependentJobTest, CancellationPropagatesToDependentJobs) {
     start_cluster(3);
     cluster.workers.task_run_s = 1000;
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1, JobKind::array, 2)).status, 201);
@@ -100,7 +101,7 @@
     ASSERT_EQ(cluster.submit_and_wait(0, dependent_job(5, {4, 3})).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 2; }, 30));
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, job_uid(1))).state, "cancelled");
-    // The node that was asked ends before it can hand it on.
+    // The node that confirmed the cancellation is killed before it can propagate it.
     cluster.kill(0);
     ASSERT_TRUE(cluster.run_until(
         [&] { return is_job_finished(2) && is_job_finished(3) && is_job_finished(5); }, 15));
@@ -108,10 +109,10 @@
         EXPECT_EQ(cluster.poll_and_wait(1, job_uid(n)).state, "cancelled");
     }
     EXPECT_EQ(cluster.poll_and_wait(1, job_uid(4)).state, "running");
-    // Naming a cancelled job is no mistake: accepted, then withdrawn.
-    auto late = cluster.submit_and_wait(2, dependent_job(6, {3, 4}));
-    EXPECT_EQ(late.status, 201);
-    EXPECT_EQ(late.state, "cancelled");
+    // A dependency on a cancelled job is valid: the job is accepted, then cancelled.
+    auto reply = cluster.submit_and_wait(2, dependent_job(6, {3, 4}));
+    EXPECT_EQ(reply.status, 201);
+    EXPECT_EQ(reply.state, "cancelled");
     EXPECT_TRUE(cluster.run_until([&] { return is_job_finished(6); }, 5));
     EXPECT_EQ(cluster.poll_and_wait(1, job_uid(6)).state, "cancelled");
     cluster.run_for(cluster.settings.cancel_deadline_s + 5);
@@ -121,9 +122,10 @@
     }
 }
 
-TEST_F(DependentJobTest, NoAnswerIsOlderThanACancellationThatIsStillToBeHandedOn) {
-    // Everybody was away for longer than a cancellation may take: the first answer of whoever
-    // comes back must not call the job queued, although nothing was written for it yet.
+TEST_F(DependentJobTest, RepliesReflectCancellationNotYetPropagated) {
+    // All nodes are down for longer than a cancellation may take. The first reply of a restarted
+    // node must not report the dependent job as queued, although its own cancellation is not
+    // written yet.
     start_cluster(3);
     cluster.workers.task_run_s = 1000;
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
@@ -144,23 +146,23 @@
     cluster.run_for(cluster.settings.cancel_deadline_s + 1);
     cluster.start(1);
     for (int i = 0; i < 400 && !is_job_finished(3); ++i) {
-        cluster.poll(1, job_uid(3));  // the rule is checked with each answer
+        cluster.poll(1, job_uid(3));  // the rule is checked with each reply
         cluster.poll(1, job_uid(2));
         cluster.run_for(0.01);
     }
     EXPECT_TRUE(is_job_finished(2) && is_job_finished(3));
 }
 
-TEST_F(DependentJobTest, ACancellationThatComesTooLateStopsNothing) {
+TEST_F(DependentJobTest, CancellationAfterCompletionDoesNotStopDependentJobs) {
     start_cluster(3);
     cluster.workers.task_run_s = 2;
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).status, 201);
-    auto last = dependent_job(2, {1}, JobKind::service);
-    ASSERT_EQ(cluster.submit_and_wait(1, last).status, 201);
+    auto dependent = dependent_job(2, {1}, JobKind::service);
+    ASSERT_EQ(cluster.submit_and_wait(1, dependent).status, 201);
     ASSERT_TRUE(cluster.run_until([&] { return is_job_finished(1); }, 60));
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(2, job_uid(1))).state, "done");
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(2)) == 1; }, 30));
-    // A job that waits can be cancelled for itself, and takes with it only what needs it.
+    // A waiting job can be cancelled on its own, which cancels only the jobs that depend on it.
     ASSERT_EQ(cluster.submit_and_wait(0, cluster.make_job(3)).status, 201);
     ASSERT_EQ(cluster.submit_and_wait(0, dependent_job(4, {3})).status, 201);
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(4))).state, "cancelled");
@@ -168,9 +170,9 @@
     EXPECT_EQ(cluster.poll_and_wait(0, job_uid(3)).state, "done");
 }
 
-TEST_F(DependentJobTest, OfACancellationAndAStartOnlyOneComesFirst) {
-    // The job that is followed is done and the one after it is about to be released: its
-    // cancellation is in the same record, so that no claim can follow it.
+TEST_F(DependentJobTest, CancellationAndReleaseOfDependentJobAreSerialized) {
+    // The dependency is done and the dependent job is about to be released. Its cancellation is
+    // in the same record, so that no claim can follow the cancellation.
     start_cluster(3);
     cluster.workers.task_run_s = 2;
     cluster.add_machine("vm-500000", "a");
@@ -187,18 +189,18 @@
     }
 }
 
-TEST_F(DependentJobTest, WhatAnUrgentJobNeedsIsUrgent) {
+TEST_F(DependentJobTest, DependenciesInheritHigherPriority) {
     start_cluster(3);
     cluster.workers.task_run_s = 1000;
-    auto low = cluster.make_job(1);
-    low.priority = Priority::best_effort;
-    auto middle = dependent_job(2, {1});
-    middle.priority = Priority::normal;
-    auto urgent = dependent_job(3, {2});
-    urgent.priority = Priority::high;
-    ASSERT_EQ(cluster.submit_and_wait(0, low).status, 201);
-    ASSERT_EQ(cluster.submit_and_wait(0, middle).status, 201);
-    ASSERT_EQ(cluster.submit_and_wait(0, urgent).status, 201);
+    auto best_effort_job = cluster.make_job(1);
+    best_effort_job.priority = Priority::best_effort;
+    auto normal_job = dependent_job(2, {1});
+    normal_job.priority = Priority::normal;
+    auto high_priority_job = dependent_job(3, {2});
+    high_priority_job.priority = Priority::high;
+    ASSERT_EQ(cluster.submit_and_wait(0, best_effort_job).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, normal_job).status, 201);
+    ASSERT_EQ(cluster.submit_and_wait(0, high_priority_job).status, 201);
     cluster.run_for(1);
     auto priority = [&](int n) {
         return cluster.controller(2).context().jobs.find(job_uid(n))->spec.priority;
@@ -208,35 +210,35 @@
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(3))).state, "cancelled");
     cluster.run_for(1);
     EXPECT_EQ(priority(1), Priority::normal);
-    // Only lent: the record keeps the job's own.
+    // The priority is only inherited: the record keeps the job's own.
     EXPECT_EQ(cluster.controller(2).context().jobs.find(job_uid(1))->record().spec.priority,
               Priority::best_effort);
 }
 
-TEST_F(DependentJobTest, ALongListOfFollowedJobsIsWrittenInParts) {
+TEST_F(DependentJobTest, LongDependencyListIsWrittenInParts) {
     cluster.settings.store_value_kb_max = cluster.settings.store_current_value_kb_max = 2;
     cluster.settings.store_txn_ops_max = 4;
     start_cluster(3);
     cluster.workers.task_run_s = 60;
-    std::vector<int> all;
+    std::vector<int> dependencies;
     for (int n = 1; n <= 400; ++n) {
-        all.push_back(n);
+        dependencies.push_back(n);
         cluster.submit(n % 3, cluster.make_job(n, JobKind::array));
         if (n % 20 == 0) {
             cluster.run_for(1);
         }
     }
     cluster.run_for(2);
-    auto last = dependent_job(1000, all);
-    last.depends_on.push_back(job_uid(1));
-    ASSERT_EQ(cluster.submit_and_wait(0, last).status, 201);
+    auto dependent = dependent_job(1000, dependencies);
+    dependent.depends_on.push_back(job_uid(1));
+    ASSERT_EQ(cluster.submit_and_wait(0, dependent).status, 201);
     EXPECT_GE(cluster.store.keys("c/l/" + job_uid(1000)).size(), 2U);
     for (int i = 0; i < 3; ++i) {
         cluster.kill(i);
     }
     cluster.start_all();
     ASSERT_TRUE(cluster.run_until([&] { return is_job_finished(1000); }, 400));
-    // The parts go when they are no longer needed.
+    // The parts are deleted when they are no longer needed.
     EXPECT_TRUE(cluster.run_until([&] { return cluster.store.keys("c/l/").empty(); }, 140));
 }
 
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -10,7 +10,7 @@
 
 struct ThreeControllerHeartbeatTest : ThreeControllerTest {};
 
-TEST_F(HeartbeatTest, NothingIsStartedBeforeAReportCarriesOurToken) {
+TEST_F(HeartbeatTest, TaskStartsOnlyAfterHeartbeatWithCurrentToken) {
     start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
     auto first = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 1));
@@ -22,41 +22,41 @@
     EXPECT_EQ(second.commands[0].kind, Command::Kind::start);
 }
 
-TEST_F(HeartbeatTest, AHigherTokenThanOursGets421WithoutHome) {
+TEST_F(HeartbeatTest, HigherTokenIsAnswered421WithoutOwner) {
     start_cluster();
     auto reply = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 999, 1));
     EXPECT_EQ(reply.status, 421);
     EXPECT_EQ(reply.owner, "");
 }
 
-TEST_F(ThreeControllerHeartbeatTest, AnothersMachineIsSentHomeAndRelayedIfItComesBack) {
+TEST_F(ThreeControllerHeartbeatTest, HeartbeatToNonOwnerIsRedirectedThenRelayed) {
     start_cluster(3);
-    auto sent = cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", 0, 1));
-    EXPECT_EQ(sent.status, 421);
-    EXPECT_EQ(sent.owner, "n0");  // of its own zone
-    // It is back: its owner can't be reached from there.
+    auto redirected = cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", 0, 1));
+    EXPECT_EQ(redirected.status, 421);
+    EXPECT_EQ(redirected.owner, "n0");  // the member in the zone of the machine
+    // A second heartbeat here means that the worker cannot reach its owner.
     auto relayed = cluster.send_heartbeat(1, heartbeat_without_tasks("vm-100000", "a", 0, 2));
     EXPECT_EQ(relayed.status, 200);
     EXPECT_EQ(relayed.token, cluster.controller(0).context().fencing_token);
 }
 
-TEST_F(ThreeControllerHeartbeatTest, MachinesWhoseOwnerIsCutOffFromThemKeepTheirLeases) {
+TEST_F(ThreeControllerHeartbeatTest, LeasesAreKeptWhileOwnerIsCutOffFromWorkers) {
     start_cluster(3);
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 3));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 3; }, 30));
-    auto before = cluster.machines_running("req-000001");
+    auto machines = cluster.machines_running("req-000001");
     cluster.faults.nodes_cut_from_workers.insert(0);
     cluster.run_for(40);
-    EXPECT_EQ(cluster.machines_running("req-000001"), before);
-    for (const auto& name : before) {
+    EXPECT_EQ(cluster.machines_running("req-000001"), machines);
+    for (const auto& name : machines) {
         EXPECT_EQ(cluster.machines[name].agent_epoch, 1U);
     }
 }
 
-TEST_F(ThreeControllerHeartbeatTest, AnOwnerThatIsCutOffFromItsWorkersAloneReleasesNone) {
-    // Found on an operations day: reports come back by way of the others a moment later than
-    // silence is told, and their answers were kept open longer than the relay waits: 132 healthy
-    // machines were released in ten seconds.
+TEST_F(ThreeControllerHeartbeatTest, OwnerCutOffFromWorkersReleasesNoMachine) {
+    // Guards against the release of healthy machines: relayed heartbeats arrive a moment after
+    // silence is detected, and their replies were held open longer than the relay waits. 132
+    // healthy machines were released within 10 s.
     cluster.settings.heartbeat_interval_s = 4;
     start_cluster(3);
     cluster.cloud.capacity = 0;
@@ -64,24 +64,24 @@
         cluster.add_machine(fmt::format("vm-5000{:02}", i),
                             cluster.settings.zones[static_cast<std::size_t>(i) % 3]);
     }
-    auto large = cluster.make_job(1, JobKind::service, 60);
-    large.task_resources = {40, 5, 300};  // one to a machine
-    cluster.submit_and_wait(0, large);
+    auto full_machine_job = cluster.make_job(1, JobKind::service, 60);
+    full_machine_job.task_resources = {40, 5, 300};  // one task per machine
+    cluster.submit_and_wait(0, full_machine_job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 60; }, 60));
-    int up = cluster.cloud.machine_count();
+    int machines_before = cluster.cloud.machine_count();
     cluster.faults.nodes_cut_from_workers.insert(0);
     cluster.run_for(45);
     cluster.faults.nodes_cut_from_workers.clear();
     cluster.run_for(20);
-    EXPECT_EQ(cluster.cloud.machine_count(), up);
-    for (const auto& [name, m] : cluster.machines) {
-        EXPECT_EQ(m.agent_epoch, 1U) << name;
+    EXPECT_EQ(cluster.cloud.machine_count(), machines_before);
+    for (const auto& [name, worker] : cluster.machines) {
+        EXPECT_EQ(worker.agent_epoch, 1U) << name;
     }
 }
 
-TEST_F(ThreeControllerHeartbeatTest, AWorkerThatWasRelayedGoesHomeOnceItCan) {
-    // Found in a restart of a controller among hundreds of machines that stop: workers relayed once
-    // were relayed for good.
+TEST_F(ThreeControllerHeartbeatTest, RelayedWorkerReturnsToDirectHeartbeats) {
+    // Guards against workers that stay relayed for good after one relayed heartbeat. It showed
+    // when a controller restarted among hundreds of machines that stop.
     start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
@@ -101,17 +101,17 @@
     EXPECT_EQ(cluster.machines.at("vm-500000").agent_epoch, 1U);
 }
 
-TEST_F(ThreeControllerHeartbeatTest, AFewRelayedReportsMakeNoOwnerPatientWithOthers) {
-    // The same day: one relayed report in 12 s, and none of its owner's machines was fenced in
-    // time.
+TEST_F(ThreeControllerHeartbeatTest, RelayedHeartbeatDoesNotDelayFencingOfOtherMachines) {
+    // Guards against late fencing: after one relayed heartbeat in 12 s, none of the owner's
+    // machines was fenced in time.
     start_cluster(3);
     cluster.cloud.capacity = 0;
     for (int i = 0; i < 12; ++i) {
         cluster.add_machine(fmt::format("vm-5000{:02}", i), "a");
     }
-    auto large = cluster.make_job(1, JobKind::service, 12);
-    large.task_resources = {40, 5, 300};
-    cluster.submit_and_wait(0, large);
+    auto full_machine_job = cluster.make_job(1, JobKind::service, 12);
+    full_machine_job.task_resources = {40, 5, 300};
+    cluster.submit_and_wait(0, full_machine_job);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks("req-000001") == 12; }, 60));
     Token token = cluster.controller(0).context().fencing_token;
     cluster.machines.at("vm-500003").is_hung = true;
@@ -123,7 +123,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.machines.at("vm-500003").deleted; }, 10));
 }
 
-TEST_F(HeartbeatTest, ANodeThatIsNoMemberAnswersWorkersWith503) {
+TEST_F(HeartbeatTest, NonMemberAnswersHeartbeatWith503) {
     cluster.faults.store_down = true;
     cluster.start_all();
     cluster.run_for(1);
@@ -131,35 +131,36 @@
               503);
 }
 
-TEST_F(HeartbeatTest, AnOlderReportIsIgnored) {
+TEST_F(HeartbeatTest, OutdatedHeartbeatIsIgnored) {
     start_cluster();
     auto token = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", 0, 5)).token;
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service));
-    auto old = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 4));
-    EXPECT_TRUE(old.commands.empty());
+    auto reply = cluster.send_heartbeat(0, heartbeat_without_tasks("vm-100000", "a", token, 4));
+    EXPECT_TRUE(reply.commands.empty());
     EXPECT_FALSE(cluster.controller(0).agent_manager().registry().adopted("vm-100000"));
 }
 
-TEST_F(ThreeControllerHeartbeatTest, EndsThatOnlyWaitToBeWrittenFenceNoMachine) {
-    // Found in a shortage of writes: machines were released for cancelled tasks that had ended
-    // there, and the work that went with them made the shortage last.
+TEST_F(ThreeControllerHeartbeatTest, UnwrittenEndOfCancelledTaskDoesNotFenceMachine) {
+    // Guards against the release of machines for cancelled tasks that have ended there while the
+    // write of their end is delayed. In a shortage of writes, the work lost with these machines
+    // prolonged the shortage.
     start_cluster(3);
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.submit_and_wait(0, cluster.make_job(1, JobKind::service, 4));
     cluster.submit_and_wait(0, cluster.make_job(2, JobKind::service, 4));
-    auto running = [&](int n, int of) {
-        return cluster.running_tasks("req-00000" + std::to_string(n)) == of;
+    auto running = [&](int job_number, int tasks) {
+        return cluster.running_tasks("req-00000" + std::to_string(job_number)) == tasks;
     };
     ASSERT_TRUE(cluster.run_until([&] { return running(1, 4) && running(2, 4); }, 30));
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, "req-000002")).state, "cancelled");
     cluster.faults.refuse_transaction = [](const Txn& txn) {
         return std::any_of(txn.writes.begin(), txn.writes.end(),
-                           [](const Write& x) { return x.key == "c/b/req-000002/0"; });
+                           [](const Write& write) { return write.key == "c/b/req-000002/0"; });
     };
     cluster.run_for(20);
     EXPECT_TRUE(running(1, 4) && running(2, 0));
-    // Nor by an owner that has just taken it over.
+    // An owner that has just adopted the machine does not fence it either.
     cluster.kill(0);
     cluster.run_for(30);
     EXPECT_TRUE(running(1, 4));
@@ -168,7 +169,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000002"); }, 10));
 }
 
-TEST_F(HeartbeatTest, LongReportIntervalsDoNotLookLikeSilence) {
+TEST_F(HeartbeatTest, LongHeartbeatIntervalIsNotTreatedAsSilence) {
     cluster.settings.heartbeat_interval_s = 8;
     cluster.settings.lease_s = 42;
     cluster.settings.cancel_deadline_s = 67;
--- a/tests/user_reply_test.cpp
+++ b/tests/user_reply_test.cpp
@@ -1,6 +1,6 @@
-// Replies to users: no node answers anything older than what any node told before. AnswerHistory
-// checks each reply; these tests bring about the combinations of faults in which an older one is
-// near.
+// Replies to users: no node replies with anything older than what any node has replied before.
+// AnswerHistory checks each reply; these tests create combinations of faults in which a stale
+// reply is likely.
 #include <algorithm>
 
 #include "cluster_fixtures.hpp"
@@ -8,54 +8,55 @@
 namespace cranemoor::test {
 namespace {
 
-// Three controllers and a machine in each zone, where tasks end soon.
+// Three controllers and one machine per zone, with short tasks.
 struct UserReplyTest : HalfMachineJobTest {
     void SetUp() override {
         HalfMachineJobTest::SetUp();
         cluster.workers.task_run_s = 10;
     }
-    // Jobs of more tasks than one block holds have a record of their own.
-    JobSpec large(int n) {
-        auto s = cluster.make_job(n, JobKind::array, 200);
-        s.task_resources = {0.05, 0, 0.1};
-        return s;
+    // A job of more tasks than one block holds, which has a record of its own.
+    JobSpec large_job(int number) {
+        auto spec = cluster.make_job(number, JobKind::array, 200);
+        spec.task_resources = {0.05, 0, 0.1};
+        return spec;
     }
-    void accept(const JobSpec& spec, int node = 1) {
+    void submit_and_expect_accepted(const JobSpec& spec, int node = 1) {
         ASSERT_EQ(cluster.submit_and_wait(node, spec).status, 201);
     }
-    // All nodes say the same, and it is what the records say.
-    void all_say(int n, const std::string& state) {
+    // Expects that all nodes report the given state.
+    void expect_state_on_all_nodes(int number, const std::string& state) {
         for (int i = 0; i < 3; ++i) {
-            EXPECT_EQ(cluster.poll_and_wait(i, job_uid(n)).state, state) << "node " << i;
+            EXPECT_EQ(cluster.poll_and_wait(i, job_uid(number)).state, state) << "node " << i;
         }
     }
 };
 
-TEST_F(UserReplyTest, ACancellationMeetsTheEndOfAJobWithARecordOfItsOwn) {
-    // Found in the sources: the final state left the job's own record as it was, and a cancellation
-    // depended on that one alone, so that a job was called done and then cancelled.
-    accept(large(1));
+TEST_F(UserReplyTest, CancellationRacesWithEndOfJobWithOwnRecord) {
+    // Guards against a job that is reported done and then cancelled: the final state left the
+    // job's own record unchanged, and a cancellation was conditional on that record alone.
+    submit_and_expect_accepted(large_job(1));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 200; }, 30));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(1)) == 0; }, 30));
     cluster.faults.transaction_delay_s = [](const Txn& t) {
         return t.purpose == Txn::Purpose::cancel ? 3.0 : 0.0;
     };
-    auto asked = cluster.cancel(1, job_uid(1));
-    ASSERT_TRUE(
-        cluster.run_until([&] { return cluster.is_finished(job_uid(1)); }, 2.5));  // meanwhile
-    EXPECT_EQ(cluster.wait_for_reply(asked).state, "done");
-    all_say(1, "done");
+    auto request = cluster.cancel(1, job_uid(1));
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(1)); },
+                                  2.5));  // while the cancellation is delayed
+    EXPECT_EQ(cluster.wait_for_reply(request).state, "done");
+    expect_state_on_all_nodes(1, "done");
 }
 
-TEST_F(UserReplyTest, ACancellationMeetsTheEndOfEveryKindOfJob) {
-    // One is asked for at each of three nodes, at moments round the end of the last task.
+TEST_F(UserReplyTest, CancellationRacesWithEndOfArraysAndGangs) {
+    // A cancellation is requested at each of three nodes, at times around the end of the last
+    // task.
     cluster.users.verify_each_reply = true;
     int n = 0;
     for (double before_s : {0.6, 0.1, 0.02, 0.0, -0.02, -0.1, -0.6}) {
         for (auto kind : {JobKind::array, JobKind::gang}) {
             auto spec = cluster.make_job(++n, kind, 2);
             spec.task_resources = {1, 0, 1};
-            accept(spec, n % 3);
+            submit_and_expect_accepted(spec, n % 3);
             ASSERT_TRUE(
                 cluster.run_until([&] { return cluster.running_tasks(job_uid(n)) == 2; }, 30));
             cluster.run_for(cluster.workers.task_run_s - 0.05 - before_s);
@@ -64,40 +65,40 @@
             }
             ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(n)); }, 30));
             cluster.run_for(0.1);
-            all_say(n, cluster.poll_and_wait(0, job_uid(n)).state);
+            expect_state_on_all_nodes(n, cluster.poll_and_wait(0, job_uid(n)).state);
         }
     }
 }
 
-TEST_F(UserReplyTest, AnAcceptanceIsAnsweredLateAndTheJobWasCancelledMeanwhile) {
+TEST_F(UserReplyTest, DelayedAcceptanceReplyReflectsCancellation) {
     cluster.faults.transaction_reply_delay_s = [](const Txn& t) {
         return t.purpose == Txn::Purpose::accept ? 1.5 : 0.0;
     };
-    auto asked = cluster.submit(0, cluster.make_job(1));
+    auto request = cluster.submit(0, cluster.make_job(1));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_accepted(job_uid(1)); }, 1));
     cluster.run_for(0.1);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(1, job_uid(1))).state, "cancelled");
-    EXPECT_EQ(cluster.wait_for_reply(asked).state, "cancelled");
-    all_say(1, "cancelled");
+    EXPECT_EQ(cluster.wait_for_reply(request).state, "cancelled");
+    expect_state_on_all_nodes(1, "cancelled");
 }
 
-TEST_F(UserReplyTest, ASubmissionThatWaitsIsAcceptedElsewhereAndCancelled) {
-    // It stands in the queue of one node when another accepts it; asked again there, it must not
-    // come to life.
+TEST_F(UserReplyTest, PendingSubmissionDoesNotReviveJobCancelledElsewhere) {
+    // The submission is queued at one node when another node accepts it. Submitted again at the
+    // first node, the cancelled job must not be revived.
     cluster.faults.refuse_transaction = [](const Txn& t) {
         return t.purpose == Txn::Purpose::accept;
     };
-    auto first = cluster.submit(0, cluster.make_job(1));
+    auto first_request = cluster.submit(0, cluster.make_job(1));
     cluster.run_for(0.3);
     cluster.faults.refuse_transaction = nullptr;
-    accept(cluster.make_job(1), 1);
+    submit_and_expect_accepted(cluster.make_job(1), 1);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(2, job_uid(1))).state, "cancelled");
-    cluster.wait_for_reply(first);
+    cluster.wait_for_reply(first_request);
     EXPECT_EQ(cluster.submit_and_wait(0, cluster.make_job(1)).state, "cancelled");
-    all_say(1, "cancelled");
+    expect_state_on_all_nodes(1, "cancelled");
 }
 
-TEST_F(UserReplyTest, UsersAskAtAllNodesWithinMillisecondsAndSubmitAgain) {
+TEST_F(UserReplyTest, RapidRequestsAtAllNodesGetConsistentReplies) {
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 3;
     for (int n = 1; n <= 40; ++n) {
@@ -106,10 +107,10 @@
         cluster.submit(n % 3, spec);
         if (n % 3 == 0) {
             cluster.run_for(0.001 * n);
-            cluster.cancel((n + 1) % 3, job_uid(n));  // at once
+            cluster.cancel((n + 1) % 3, job_uid(n));  // immediately
         }
         if (n % 10 == 0) {
-            cluster.kill(n / 10 % 3);  // the answers of who follows must not be older either
+            cluster.kill(n / 10 % 3);  // replies after a failover must not be older either
             cluster.run_for(0.5);
             cluster.start(n / 10 % 3);
         }
@@ -122,8 +123,9 @@
     }
 }
 
-TEST_F(UserReplyTest, TransactionsAreCarriedOutAtOnceAndOnlyTheirAnswersAreLost) {
-    // Who asked for them knows nothing; the others have read what they wrote.
+TEST_F(UserReplyTest, RepliesStayConsistentWhenTransactionRepliesAreLost) {
+    // The node that sent a transaction does not know its result, while the others have read what
+    // it wrote.
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 4;
     int sent = 0;
@@ -133,7 +135,8 @@
     for (int n = 1; n <= 24; ++n) {
         cluster.submit(n % 3, cluster.make_job(n, JobKind::array, 1 + n % 2));
         cluster.run_for(0.7);
-        cluster.submit((n + 1) % 3, cluster.make_job(n, JobKind::array, 1 + n % 2));  // as users do
+        cluster.submit((n + 1) % 3, cluster.make_job(n, JobKind::array,
+                                                     1 + n % 2));  // users retry
         if (n % 2 == 0) {
             cluster.cancel(n % 3, job_uid(n));
             cluster.cancel((n + 2) % 3, job_uid(n));
@@ -146,24 +149,24 @@
         ASSERT_TRUE(cluster.is_accepted(job_uid(n)) && cluster.is_finished(job_uid(n)))
             << job_uid(n);
         auto state = cluster.poll_and_wait(0, job_uid(n)).state;
-        all_say(n, state);
+        expect_state_on_all_nodes(n, state);
     }
 }
 
-TEST_F(UserReplyTest, EverythingIsReadAgainPageByPageAndNothingIsTakenForOver) {
-    // Guards against half of the records: blocks are read before the records of jobs that have one
-    // of their own, and looked as if they had outlived them.
+TEST_F(UserReplyTest, PagedRereadDoesNotMistakeRunningJobForFinished) {
+    // Guards against acting on half of the records: blocks are read before the records of jobs
+    // that have one of their own, and looked as if they had outlived their jobs.
     cluster.workers.task_run_s = 1000;
-    accept(cluster.make_job(1));
+    submit_and_expect_accepted(cluster.make_job(1));
     for (int n = 2; n < 30; ++n) {
-        auto waits = cluster.make_job(n);
-        waits.depends_on = {job_uid(1)};
-        accept(waits);
+        auto dependent = cluster.make_job(n);
+        dependent.depends_on = {job_uid(1)};
+        submit_and_expect_accepted(dependent);
     }
-    accept(large(900));
+    submit_and_expect_accepted(large_job(900));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.running_tasks(job_uid(900)) == 200; }, 60));
-    int changes = cluster.store.writes_by_kind["c/b"];
-    auto places = cluster.machines_running(job_uid(900));
+    int block_writes = cluster.store.writes_by_kind["c/b"];
+    auto machines = cluster.machines_running(job_uid(900));
     cluster.faults.store_reply_delay_s = 0.3;
     for (int i = 0; i < 3; ++i) {
         cluster.store.compact();
@@ -172,38 +175,39 @@
         cluster.poll(i, job_uid(5));
         cluster.run_for(6);
     }
-    EXPECT_EQ(cluster.store.writes_by_kind["c/b"], changes);  // neither removed nor claimed anew
-    EXPECT_EQ(cluster.machines_running(job_uid(900)), places);
+    EXPECT_EQ(cluster.store.writes_by_kind["c/b"],
+              block_writes);  // neither removed nor claimed again
+    EXPECT_EQ(cluster.machines_running(job_uid(900)), machines);
     EXPECT_EQ(cluster.cloud.machine_count(), 3);
     cluster.faults.store_reply_delay_s = 0;
     cluster.run_for(3);
     ASSERT_EQ(cluster.wait_for_reply(cluster.cancel(0, job_uid(900))).state, "cancelled");
     cluster.store.compact();
     cluster.run_for(20);
-    all_say(900, "cancelled");
+    expect_state_on_all_nodes(900, "cancelled");
 }
 
-TEST_F(UserReplyTest, OddRequestsAreAnsweredAsTheProtocolSaysAndNeverAccepted) {
+TEST_F(UserReplyTest, InvalidRequestsAreRefusedUnlessJobIsKnown) {
     cluster.users.verify_each_reply = true;
     cluster.workers.task_run_s = 3;
     EXPECT_EQ(cluster.wait_for_reply(cluster.submit_malformed(0, job_uid(1))).status, 400);
     EXPECT_EQ(cluster.poll_and_wait(1, job_uid(1)).status, 404);
-    auto vast = cluster.make_job(2);
-    vast.task_resources = {4, 900, 16};
-    EXPECT_EQ(cluster.submit_and_wait(1, vast).status, 422);
-    EXPECT_EQ(cluster.submit_and_wait(2, vast).status, 422);
+    auto too_large = cluster.make_job(2);
+    too_large.task_resources = {4, 900, 16};
+    EXPECT_EQ(cluster.submit_and_wait(1, too_large).status, 422);
+    EXPECT_EQ(cluster.submit_and_wait(2, too_large).status, 422);
     EXPECT_FALSE(cluster.is_accepted(job_uid(2)));
     EXPECT_EQ(cluster.wait_for_reply(cluster.cancel(0, job_uid(2))).status, 404);
-    auto stranger = cluster.make_job(3);
-    stranger.team = "nobody";
-    EXPECT_EQ(cluster.submit_and_wait(1, stranger).status, 422);
-    accept(cluster.make_job(4));
-    for (int i = 0; i < 3; ++i) {  // known: whatever the repeated submission looks like
+    auto unknown_team_job = cluster.make_job(3);
+    unknown_team_job.team = "nobody";
+    EXPECT_EQ(cluster.submit_and_wait(1, unknown_team_job).status, 422);
+    submit_and_expect_accepted(cluster.make_job(4));
+    for (int i = 0; i < 3; ++i) {  // a known job, whatever the repeated submission contains
         EXPECT_EQ(cluster.submit_and_wait(i, cluster.make_job(4)).status, 200);
         EXPECT_EQ(cluster.wait_for_reply(cluster.submit_malformed(i, job_uid(4))).status, 200);
-        auto other = vast;
-        other.uid = job_uid(4);
-        EXPECT_EQ(cluster.submit_and_wait(i, other).status, 200);
+        auto invalid_repeat = too_large;
+        invalid_repeat.uid = job_uid(4);
+        EXPECT_EQ(cluster.submit_and_wait(i, invalid_repeat).status, 200);
     }
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished(job_uid(4)); }, 30));
     for (int i = 0; i < 3; ++i) {
