--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-// AdmissionController: submissions of all flows have their turn, however many one of them sends.
+// AdmissionController: all flows take turns, however many submissions one of them sends.
 #include "admission/admission_controller.hpp"
 
 #include <gtest/gtest.h>
@@ -13,57 +13,58 @@
 using admission::AdmissionController;
 using admission::FlowName;
 
-const FlowName sweep{"red", "sweep"};
-const FlowName desk{"red", "desk"};
+const FlowName sweep_flow{"red", "sweep"};
+const FlowName desk_flow{"red", "desk"};
 
-TEST(AdmissionControllerTest, EveryFlowHasItsTurnAndTheLongestMakesRoom) {
+TEST(AdmissionControllerTest, FlowsTakeTurnsAndLongestFlowIsEvicted) {
     AdmissionController controller;
     for (int i = 0; i < 100; ++i) {
-        controller.enqueue(sweep);
+        controller.enqueue(sweep_flow);
     }
     for (int i = 0; i < 10; ++i) {
         controller.dequeue(*controller.next_flow(), true);
     }
-    controller.enqueue(desk);
-    EXPECT_EQ(controller.flow_to_evict(desk), sweep);
-    EXPECT_EQ(controller.flow_to_evict(sweep), std::nullopt);
+    controller.enqueue(desk_flow);
+    EXPECT_EQ(controller.flow_to_evict(desk_flow), sweep_flow);
+    EXPECT_EQ(controller.flow_to_evict(sweep_flow), std::nullopt);
     int turns = 0;
-    while (controller.next_flow() != desk) {
+    while (controller.next_flow() != desk_flow) {
         controller.dequeue(*controller.next_flow(), true);
         ++turns;
     }
-    EXPECT_LE(turns, 1);  // what the other had while nobody else waited is no debt
+    EXPECT_LE(turns, 1);  // turns taken while no other flow waited are not held against the flow
 }
 
-// Drawn flows: whoever waits all the time gets at least its part of the turns, nobody who comes and
-// goes more than its own, and there is a turn for as long as anybody waits.
-TEST(AdmissionControllerTest, HoldsForDrawnFlows) {
+// Random flows: a flow that waits all the time gets at least its fair share of the turns, an
+// intermittent flow gets no more than its own share, and there is a turn as long as any
+// submission waits.
+TEST(AdmissionControllerTest, RandomFlowsGetFairShare) {
     std::mt19937 rng(11);
     for (int round = 0; round < 200; ++round) {
         AdmissionController controller;
-        std::size_t n = 2 + rng() % 6;
-        auto name = [](std::size_t i) { return FlowName{"team", std::to_string(i)}; };
-        std::vector<std::size_t> waits(n);
-        std::vector<int> turns(n);
-        waits[0] = 1000;
-        for (std::size_t i = 0; i < waits[0]; ++i) {
-            controller.enqueue(name(0));
+        std::size_t flows = 2 + rng() % 6;
+        auto flow_name = [](std::size_t i) { return FlowName{"team", std::to_string(i)}; };
+        std::vector<std::size_t> waiting(flows);
+        std::vector<int> turns(flows);
+        waiting[0] = 1000;
+        for (std::size_t i = 0; i < waiting[0]; ++i) {
+            controller.enqueue(flow_name(0));
         }
         for (int turn = 0; turn < 600; ++turn) {
-            std::size_t who = rng() % n;
-            for (std::size_t more = rng() % 4; who != 0 && more > 0; --more) {
-                controller.enqueue(name(who));
-                ++waits[who];
+            std::size_t flow = rng() % flows;
+            for (std::size_t count = rng() % 4; flow != 0 && count > 0; --count) {
+                controller.enqueue(flow_name(flow));
+                ++waiting[flow];
             }
             auto next = controller.next_flow();
             ASSERT_TRUE(next);
             auto i = static_cast<std::size_t>(std::stoul(next->second));
             controller.dequeue(*next, true);
-            --waits[i];
+            --waiting[i];
             ++turns[i];
         }
-        EXPECT_GE(turns[0], 600 / static_cast<int>(n) - 1);
-        for (std::size_t i = 1; i < n; ++i) {
+        EXPECT_GE(turns[0], 600 / static_cast<int>(flows) - 1);
+        for (std::size_t i = 1; i < flows; ++i) {
             EXPECT_LE(turns[i], turns[0] + 1);
         }
     }
@@ -71,7 +72,7 @@
 
 struct AdmissionTest : ClusterTest {};
 
-TEST_F(AdmissionTest, OneClassOfWhichThousandsComeKeepsNobodyElseOut) {
+TEST_F(AdmissionTest, FloodOfOneClassDoesNotBlockOtherClasses) {
     start_cluster();
     auto submit = [&](int number, const std::string& job_class) {
         auto spec = cluster.make_job(number, JobKind::array, 1);
@@ -81,13 +82,13 @@
     for (std::size_t n = 1; n <= 2 * constants::user_requests_max; ++n) {
         submit(static_cast<int>(n), "sweep");
     }
-    auto desk = submit(9000, "desk");
-    auto sent_away = submit(9001, "sweep");
-    EXPECT_EQ(cluster.wait_for_reply(desk).status, 201);
-    auto later = cluster.wait_for_reply(sent_away);
-    EXPECT_EQ(later.status, 503);
-    EXPECT_GE(later.retry_after_s, 1);
-    EXPECT_LE(later.retry_after_s, constants::retry_after_max_s);
+    auto desk_request = submit(9000, "desk");
+    auto refused_request = submit(9001, "sweep");
+    EXPECT_EQ(cluster.wait_for_reply(desk_request).status, 201);
+    auto refused_reply = cluster.wait_for_reply(refused_request);
+    EXPECT_EQ(refused_reply.status, 503);
+    EXPECT_GE(refused_reply.retry_after_s, 1);
+    EXPECT_LE(refused_reply.retry_after_s, constants::retry_after_max_s);
 }
 
 }  // namespace
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// The admission table's parts: when it turns over, and whose a block is.
+// Parts of the admission table: when it is turned on and off, and which member owns a block.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,19 +9,19 @@
 namespace cranemoor::admission {
 namespace {
 
-TEST(HysteresisSwitch, TurnsOnSoonAndOffLate) {
-    HysteresisSwitch valve({0.4, 1.0, 0.2, 0.6, 15.0});
-    EXPECT_FALSE(valve.look(0, 0.5, 1.0));
-    EXPECT_FALSE(valve.look(0.5, 0.3, 1.0));  // a moment's relief
-    EXPECT_FALSE(valve.look(1.0, 0.5, 1.0));
-    EXPECT_TRUE(valve.look(2.0, 0.5, 1.0));
-    EXPECT_TRUE(valve.look(3.0, 0.0, 0.9));  // little waits, but only since much is shared
-    EXPECT_TRUE(valve.look(17.0, 0.0, 0.5));
-    EXPECT_TRUE(valve.look(31.0, 0.0, 0.5));
-    EXPECT_FALSE(valve.look(32.0, 0.0, 0.5));
+TEST(HysteresisSwitch, TurnsOnAfterShortDelayAndOffAfterLongDelay) {
+    HysteresisSwitch hysteresis({0.4, 1.0, 0.2, 0.6, 15.0});
+    EXPECT_FALSE(hysteresis.look(0, 0.5, 1.0));
+    EXPECT_FALSE(hysteresis.look(0.5, 0.3, 1.0));  // a short drop restarts the delay
+    EXPECT_FALSE(hysteresis.look(1.0, 0.5, 1.0));
+    EXPECT_TRUE(hysteresis.look(2.0, 0.5, 1.0));
+    EXPECT_TRUE(hysteresis.look(3.0, 0.0, 0.9));  // little waiting, but only due to shared records
+    EXPECT_TRUE(hysteresis.look(17.0, 0.0, 0.5));
+    EXPECT_TRUE(hysteresis.look(31.0, 0.0, 0.5));
+    EXPECT_FALSE(hysteresis.look(32.0, 0.0, 0.5));
 }
 
-TEST(Homes, EachBlockHasOneMemberByWeight) {
+TEST(ShardOwner, AssignsEachBlockToOneMemberByWeight) {
     std::vector<std::pair<std::uint64_t, int>> members = {{3, 100}, {5, 300}, {9, 1}};
     std::map<std::uint64_t, int> blocks;
     for (std::uint64_t hash = 0; hash < 401; ++hash) {
--- a/tests/autoscaling_test.cpp
+++ b/tests/autoscaling_test.cpp
@@ -1,4 +1,4 @@
-// Scale out and scale in: rentals without a reply, idle machines and machines nobody asked for.
+// Scale out and scale in: launches without a reply, idle machines and unrequested machines.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
@@ -8,7 +8,7 @@
 
 struct ThreeControllerAutoscalingTest : ThreeControllerTest {};
 
-TEST_F(AutoscalingTest, ARentalWithoutAnswerIsRepeatedUnderItsOwnName) {
+TEST_F(AutoscalingTest, UnansweredLaunchIsRepeatedUnderSameName) {
     start_cluster();
     cluster.faults.cloud_down = true;
     cluster.submit_and_wait(0, cluster.make_job(1));
@@ -18,9 +18,10 @@
     EXPECT_EQ(cluster.cloud.launches, 1);
 }
 
-TEST_F(AutoscalingTest, AMachineThatReportsBeforeItsRentalIsAnsweredKeepsItsAddress) {
-    // Guards against boots of a second: the rental's answer names no address and came last, and
-    // the machine could be neither probed nor stopped until the next list.
+TEST_F(AutoscalingTest, HeartbeatBeforeLaunchReplyKeepsMachineAddress) {
+    // Guards against the loss of an address when a machine boots within a second: the launch
+    // reply names no address and arrived after the first heartbeat, and the machine could be
+    // neither probed nor stopped until the next listing.
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
@@ -32,32 +33,32 @@
     EXPECT_EQ(agent_manager.registry().find("vm-500000")->address, "vm-500000");
 }
 
-TEST_F(AutoscalingTest, IdleMachinesAreReturnedAfterTheirMark) {
+TEST_F(AutoscalingTest, IdleMachinesAreReleasedAfterCordon) {
     start_cluster();
     cluster.submit_and_wait(0, cluster.make_job(1));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.is_finished("req-000001"); }, 60));
     EXPECT_TRUE(cluster.run_until([&] { return cluster.cloud.machine_count() == 0; }, 120));
 }
 
-TEST_F(ThreeControllerAutoscalingTest, EmptyMachinesOfOtherMembersCountAsRoom) {
-    // Found in a day's log: the leading member took machines that report to others for machines
-    // that never came up, and rented more while they stood empty.
+TEST_F(ThreeControllerAutoscalingTest, EmptyMachinesOfOtherMembersCountAsCapacity) {
+    // Guards against unneeded launches: the leader took machines that send their heartbeats to
+    // other members for machines that never came up, and launched more while those were empty.
     start_cluster(3);
     for (const char* zone : {"a", "b", "c"}) {
         cluster.add_machine(std::string("vm-50000") + zone, zone);
     }
     cluster.run_for(20);  // longer than a late boot
-    int before = cluster.cloud.launches;
+    int launches_before = cluster.cloud.launches;
     for (int i = 1; i <= 3; ++i) {
         auto gang = cluster.make_job(i, JobKind::gang);
         gang.task_resources = {60, 8, 400};
         cluster.submit_and_wait(0, gang);
     }
     cluster.run_for(3);
-    EXPECT_EQ(cluster.cloud.launches, before);
+    EXPECT_EQ(cluster.cloud.launches, launches_before);
 }
 
-TEST_F(AutoscalingTest, AMachineNobodyAskedForIsUsedOrReturned) {
+TEST_F(AutoscalingTest, UnrequestedMachineIsUsedOrReleased) {
     start_cluster();
     cluster.add_machine("vm-777777", "b");
     EXPECT_TRUE(cluster.run_until([&] { return cluster.machines["vm-777777"].deleted; }, 120));
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,5 @@
-// Overload and quick restarts: what several members do when writes, room or members themselves run
-// short for a while.
+// Overload and rapid restarts: controllers while writes, capacity or members are short for a
+// while.
 #include "cluster_fixtures.hpp"
 
 namespace cranemoor::test {
@@ -9,22 +9,22 @@
     return fmt::format("req-{:06}", number);
 }
 
-// Whether it holds of all jobs from 1 to n.
-template <typename Holds>
-bool all_jobs(int n, Holds holds) {
-    for (int i = 1; i <= n; ++i) {
-        if (!holds(uid(i))) {
+// Whether the predicate holds for all jobs from 1 to `jobs`.
+template <typename Predicate>
+bool holds_for_all_jobs(int jobs, Predicate predicate) {
+    for (int i = 1; i <= jobs; ++i) {
+        if (!predicate(uid(i))) {
             return false;
         }
     }
     return true;
 }
 
-bool all_finished(SimulatedCluster& cluster, int n) {
-    return all_jobs(n, [&](const auto& job) { return cluster.is_finished(job); });
+bool all_finished(SimulatedCluster& cluster, int jobs) {
+    return holds_for_all_jobs(jobs, [&](const auto& job) { return cluster.is_finished(job); });
 }
 
-std::uint64_t epoch_of(SimulatedCluster& cluster) {
+std::uint64_t epoch_number(SimulatedCluster& cluster) {
     return cluster.store.find("c/epoch")->at("number").get<std::uint64_t>();
 }
 
@@ -32,45 +32,45 @@
 
 struct ThreeControllerOverloadTest : ThreeControllerTest {};
 
-TEST_F(OverloadTest, AClassOfLowerPriorityIsNotLeftWithoutRoom) {
+TEST_F(OverloadTest, LowerPriorityClassGetsMinimumShare) {
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
-    auto urgent = cluster.make_job(1, JobKind::array, 100);
-    urgent.priority = Priority::high;
-    urgent.job_class = "urgent";
-    auto sweep = cluster.make_job(2, JobKind::array, 100);
-    sweep.job_class = "sweep";
-    cluster.submit_and_wait(0, urgent);
+    auto urgent_job = cluster.make_job(1, JobKind::array, 100);
+    urgent_job.priority = Priority::high;
+    urgent_job.job_class = "urgent";
+    auto sweep_job = cluster.make_job(2, JobKind::array, 100);
+    sweep_job.job_class = "sweep";
+    cluster.submit_and_wait(0, urgent_job);
     cluster.run_for(1);
-    cluster.submit_and_wait(0, sweep);
+    cluster.submit_and_wait(0, sweep_job);
     cluster.run_for(constants::min_share_wait_s);
-    EXPECT_EQ(cluster.running_tasks(uid(2)), 0);  // the ordinary order
+    EXPECT_EQ(cluster.running_tasks(uid(2)), 0);  // the usual priority order
     EXPECT_TRUE(cluster.run_until([&] { return cluster.running_tasks(uid(2)) >= 2; }, 45));
     EXPECT_GE(cluster.running_tasks(uid(1)),
-              8);  // and the urgent class still has more than the other
+              8);  // the urgent class still has more than the other one
 }
 
-TEST_F(OverloadTest, AGangBelowItsFloorWaitsForWhatRunsOut) {
+TEST_F(OverloadTest, GangBelowMinimumShareStartsAsRunningTasksEnd) {
     start_cluster();
     cluster.cloud.capacity = 0;
     cluster.workers.task_run_s = 40;
     cluster.add_machine("vm-500000", "a");
     cluster.add_machine("vm-500001", "a");
-    int number = 0;
-    auto sweep = [&] {
-        auto spec = cluster.make_job(++number);
+    int job_number = 0;
+    auto submit_sweep_job = [&] {
+        auto spec = cluster.make_job(++job_number);
         spec.job_class = "sweep";
         cluster.submit(0, spec);
     };
-    // Small tasks that end one after the other, with more waiting than there is room for.
+    // Small tasks that end one after another, with more of them waiting than fit.
     for (int i = 0; i < 20; ++i) {
-        sweep();
+        submit_sweep_job();
         cluster.run_for(2.5);
     }
     for (int i = 0; i < 100; ++i) {
-        sweep();
+        submit_sweep_job();
     }
     auto gang = cluster.make_job(1000, JobKind::gang, 2);
     gang.task_resources = {32, 8, 64};
@@ -82,7 +82,7 @@
                                   cluster.workers.task_run_s + 20));
 }
 
-TEST_F(ThreeControllerOverloadTest, WhileWritesAreShortClaimsOfManyJobsShareARecord) {
+TEST_F(ThreeControllerOverloadTest, ClaimsOfManyJobsShareRecordWhileWritesAreShort) {
     start_cluster(3);
     cluster.workers.task_run_s = 30;
     cluster.run_for(2);
@@ -92,7 +92,8 @@
     }
     ASSERT_TRUE(cluster.run_until(
         [&] {
-            return all_jobs(40, [&](const auto& job) { return cluster.running_tasks(job) == 2; });
+            return holds_for_all_jobs(
+                40, [&](const auto& job) { return cluster.running_tasks(job) == 2; });
         },
         60));
     EXPECT_GT(cluster.store.writes_by_kind["c/s"], 0);
@@ -100,7 +101,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 40); }, 90));
 }
 
-TEST_F(ThreeControllerOverloadTest, WhatSheetsSayOutlivesTheMembersThatSaidIt) {
+TEST_F(ThreeControllerOverloadTest, ClaimBatchesSurviveRestartOfAllMembers) {
     start_cluster(3);
     cluster.workers.task_run_s = 40;
     cluster.store.put_admission_table(true, {1, 2, 3});
@@ -128,7 +129,7 @@
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 20); }, 150));
 }
 
-TEST_F(ThreeControllerOverloadTest, ATableThatTurnsOverAndOverMakesNobodyClaimTwice) {
+TEST_F(ThreeControllerOverloadTest, RepeatedAdmissionTableChangesCauseNoDoubleClaim) {
     start_cluster(3);
     for (int n = 1; n <= 30; ++n) {
         cluster.submit(n % 3, cluster.make_job(n, JobKind::array, 4));
@@ -136,14 +137,14 @@
         cluster.run_for(0.3);
     }
     EXPECT_TRUE(cluster.run_until([&] { return all_finished(cluster, 30); },
-                                  200));  // the rules are checked by the cluster
+                                  200));  // the cluster checks the invariants
 }
 
 struct NineControllerOverloadTest : ClusterTest {
     NineControllerOverloadTest() : ClusterTest(9) {}
 };
 
-TEST_F(NineControllerOverloadTest, AnEndEverySecondCostsFewEpochsAndNoLease) {
+TEST_F(NineControllerOverloadTest, RestartEverySecondCostsFewEpochsAndNoLease) {
     start_cluster(9);
     cluster.workers.task_run_s = 200;
     for (int n = 1; n <= 12; ++n) {
@@ -151,22 +152,24 @@
     }
     ASSERT_TRUE(cluster.run_until(
         [&] {
-            return all_jobs(12, [&](const auto& job) { return cluster.running_tasks(job) == 4; });
+            return holds_for_all_jobs(
+                12, [&](const auto& job) { return cluster.running_tasks(job) == 4; });
         },
         90));
-    auto before = epoch_of(cluster);
-    constexpr int ends = 30;
-    for (int k = 0; k < ends; ++k) {
-        cluster.kill(k % 9);
+    auto epoch_before = epoch_number(cluster);
+    constexpr int restarts = 30;
+    for (int restart = 0; restart < restarts; ++restart) {
+        cluster.kill(restart % 9);
         cluster.run_for(0.2);
-        cluster.start(k % 9);
+        cluster.start(restart % 9);
         cluster.run_for(0.8);
     }
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_members(9); }, 10));
-    // One that takes the old one out and its new one in; others may share it.
-    EXPECT_LE(epoch_of(cluster) - before, 2U * ends);
-    for (const auto& [name, m] : cluster.machines) {
-        EXPECT_TRUE(m.deleted || m.agent_epoch == 1) << name;
+    // At most two epochs per restart, to remove the old member and add its successor; several
+    // restarts may share one.
+    EXPECT_LE(epoch_number(cluster) - epoch_before, 2U * restarts);
+    for (const auto& [name, worker] : cluster.machines) {
+        EXPECT_TRUE(worker.deleted || worker.agent_epoch == 1) << name;
     }
     cluster.run_for(10);
     for (int n = 1; n <= 12; ++n) {
@@ -174,14 +177,15 @@
     }
 }
 
-TEST_F(ThreeControllerOverloadTest, TheBusiestEndsEverySecondAndUsersAreStillServed) {
+TEST_F(ThreeControllerOverloadTest, UsersAreServedWhileBusiestControllerRestartsEverySecond) {
     start_cluster(3);
     int accepted = 0;
-    for (int k = 0; k < 30; ++k) {
+    for (int restart = 0; restart < 30; ++restart) {
         cluster.kill(0);
         cluster.run_for(0.3);
         cluster.start(0);
-        auto reply = cluster.submit_and_wait(1 + k % 2, cluster.make_job(k + 1, JobKind::array));
+        auto reply =
+            cluster.submit_and_wait(1 + restart % 2, cluster.make_job(restart + 1, JobKind::array));
         accepted += reply.status == 201 ? 1 : 0;
         cluster.run_for(0.7);
     }
