--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -61,7 +61,7 @@
     next_heartbeat_s_ = now + constants::peer_heartbeat_interval_s;
     sent_store_contact_ = store_contact_.has_contact();
     sent_relies_on_read_leases_ = relies_on_read_leases();
-    read_leases_->begin(now);
+    read_leases_->begin_round(now);
     auto cancellations = sent_store_contact_ ? std::nullopt : known_cancellations();
     for (const auto& peer : ctx_.settings.peers) {
         PeerCall call;
@@ -101,7 +101,7 @@
         self.knowledge = replica_.has_read_all() ? Knowledge::partial : Knowledge::none;
     }
     LeaseHeartbeat message;
-    message.heartbeat = read_leases_->next(peer, ctx_.now.steady, self);
+    message.heartbeat = read_leases_->make_heartbeat(peer, ctx_.now.steady, self);
     if (message.heartbeat.grant == read_leases::Grant::full) {
         message.cancelled = *cancellations;
     }
