--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Generated input under fixed seeds: whatever bytes come, readers refuse them or take them whole.
-// Under the sanitizers' build this also finds what reads or computes beyond its bounds.
+// Generated input under fixed seeds: parsers and decoders must reject any bytes or accept them in
+// full. The sanitizer build also finds out-of-bounds reads and undefined arithmetic here.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -22,16 +22,16 @@
 
 using core::Json;
 
-// Draws by the generator's own numbers: the library's distributions differ between versions.
-class Draw {
+// Uses the engine's raw numbers: the standard distributions differ between library versions.
+class InputGenerator {
   public:
-    explicit Draw(unsigned seed) : random_(seed) {}
+    explicit InputGenerator(unsigned seed) : random_(seed) {}
     std::size_t below(std::size_t n) { return n == 0 ? 0 : random_() % n; }
     template <typename T, std::size_t N>
-    const T& of(const std::array<T, N>& list) {
+    const T& pick(const std::array<T, N>& list) {
         return list[below(N)];
     }
-    // A few changes of the kind that a bad sender or a damaged copy makes.
+    // Applies 1 to 4 random edits, as a faulty sender or a corrupted copy would make.
     std::string damaged(std::string text) {
         for (std::size_t n = 1 + below(4); n > 0; --n) {
             std::size_t at = below(text.size() + 1);
@@ -57,31 +57,31 @@
         }
         return text;
     }
-    // A map with one of its values, at any depth, replaced by an odd one.
-    Json odd(Json value) {
-        static const auto strange = std::to_array<Json>({nullptr,
-                                                         true,
-                                                         -1,
-                                                         0,
-                                                         UINT64_MAX,
-                                                         INT64_MIN,
-                                                         1e308,
-                                                         -0.5,
-                                                         std::nan(""),
-                                                         INFINITY,
-                                                         "",
-                                                         std::string(300, 'x'),
-                                                         "\xff\xfe",
-                                                         Json::array(),
-                                                         Json::object(),
-                                                         {{"a", {1, 2, {3}}}}});
+    // Replaces one value, at any depth, by one of an unexpected type or range.
+    Json with_odd_value(Json value) {
+        static const auto odd_values = std::to_array<Json>({nullptr,
+                                                            true,
+                                                            -1,
+                                                            0,
+                                                            UINT64_MAX,
+                                                            INT64_MIN,
+                                                            1e308,
+                                                            -0.5,
+                                                            std::nan(""),
+                                                            INFINITY,
+                                                            "",
+                                                            std::string(300, 'x'),
+                                                            "\xff\xfe",
+                                                            Json::array(),
+                                                            Json::object(),
+                                                            {{"a", {1, 2, {3}}}}});
         Json* at = &value;
         while (at->is_structured() && !at->empty() && (at == &value || below(3) != 0)) {
             auto it = at->begin();
             std::advance(it, static_cast<std::ptrdiff_t>(below(at->size())));
             at = &*it;
         }
-        *at = of(strange);
+        *at = pick(odd_values);
         return value;
     }
 
@@ -91,30 +91,30 @@
 
 // --- HTTP ---------------------------------------------------------------------------------
 
-std::string describe(const io::HttpMessage& m) {
-    return m.method + " " + m.target + " " + std::to_string(m.headers.size()) + " " + m.body +
-           (m.keep_alive ? " kept\n" : " closed\n");
+std::string describe(const io::HttpMessage& message) {
+    return message.method + " " + message.target + " " + std::to_string(message.headers.size()) +
+           " " + message.body + (message.keep_alive ? " kept\n" : " closed\n");
 }
 
-// What a parser makes of a text that comes in the given pieces.
-std::string parsed(const std::vector<std::string>& pieces, std::size_t body_max) {
+// Describes every message parsed when the text arrives in the given pieces, and the final state.
+std::string parse_pieces(const std::vector<std::string>& pieces, std::size_t body_max) {
     io::HttpParser parser(io::HttpParser::Role::request, body_max);
-    std::string seen;
+    std::string result;
     for (const auto& piece : pieces) {
         auto state = parser.feed(piece);
         while (state == io::HttpParser::State::complete) {
-            seen += describe(parser.take());
+            result += describe(parser.take());
             state = parser.feed({});
         }
         EXPECT_LE(parser.held(), core::constants::head_bytes_max + 2 * body_max + piece.size());
         if (state != io::HttpParser::State::more) {
-            return seen + (state == io::HttpParser::State::bad ? "bad" : "too large");
+            return result + (state == io::HttpParser::State::bad ? "bad" : "too large");
         }
     }
-    return seen + "more";
+    return result + "more";
 }
 
-TEST(Fuzz, ARequestMeansTheSameInWhateverPiecesItComes) {
+TEST(Fuzz, HttpParsingDoesNotDependOnHowARequestIsSplit) {
     const auto good = std::to_array<std::string>({
         "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
         "POST /work HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello",
@@ -123,17 +123,17 @@
         "POST / HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 300\r\n\r\n",
     });
     for (unsigned seed = 1; seed <= 1500; ++seed) {
-        Draw draw(seed);
-        std::string text = draw.damaged(draw.of(good)) + draw.of(good);
+        InputGenerator generator(seed);
+        std::string text = generator.damaged(generator.pick(good)) + generator.pick(good);
         std::vector<std::string> pieces;
         for (std::size_t at = 0; at < text.size(); at += pieces.back().size()) {
-            pieces.push_back(text.substr(at, 1 + draw.below(20)));
+            pieces.push_back(text.substr(at, 1 + generator.below(20)));
         }
-        ASSERT_EQ(parsed({text}, 200), parsed(pieces, 200)) << "seed " << seed;
+        ASSERT_EQ(parse_pieces({text}, 200), parse_pieces(pieces, 200)) << "seed " << seed;
     }
 }
 
-TEST(Fuzz, ASenderThatGoesOnWhileItIsAnsweredHoldsLittle) {
+TEST(Fuzz, DataSentBeforeTheReplyIsBoundedInMemory) {
     io::HttpParser parser(io::HttpParser::Role::request, 200);
     auto state = parser.feed("GET / HTTP/1.1\r\n\r\n");
     for (int i = 0; i < 1000 && state == io::HttpParser::State::complete; ++i) {
@@ -145,23 +145,23 @@
 
 // --- messages -----------------------------------------------------------------------------
 
-std::vector<Json> messages() {
+std::vector<Json> sample_messages() {
     Json task = {{"hatchling", "req-000412/3"},
                  {"launch", 2},
                  {"stance", "ended"},
                  {"cause", "halted"},
                  {"saved", true}};
-    Json report = {{"roost", "vm-000231"}, {"endpoint", "10.1.0.232:9000"},
-                   {"breed", "g8"},        {"marsh", "a"},
-                   {"driftwood", true},    {"perch", 1},
-                   {"call_seq", 88},       {"crest", 41},
-                   {"warning_s", 12.5},    {"hatchlings", {task}}};
+    Json heartbeat = {{"roost", "vm-000231"}, {"endpoint", "10.1.0.232:9000"},
+                      {"breed", "g8"},        {"marsh", "a"},
+                      {"driftwood", true},    {"perch", 1},
+                      {"call_seq", 88},       {"crest", 41},
+                      {"warning_s", 12.5},    {"hatchlings", {task}}};
     core::PeerCall relay;
-    relay.relayed_heartbeat = wire::decode_heartbeat(report).to_optional();
-    core::LeaseHeartbeat& said = relay.lease.emplace();
-    said.heartbeat.boot = said.heartbeat.heard_boot = "b1";
-    said.heartbeat.grant = read_leases::Grant::full;
-    said.cancelled.push_back({"req-000412", 1.7e9});
+    relay.relayed_heartbeat = wire::decode_heartbeat(heartbeat).to_optional();
+    core::LeaseHeartbeat& lease = relay.lease.emplace();
+    lease.heartbeat.boot = lease.heartbeat.heard_boot = "b1";
+    lease.heartbeat.grant = read_leases::Grant::full;
+    lease.cancelled.push_back({"req-000412", 1.7e9});
     core::WorkerReply reply;
     reply.status = 200;
     reply.commands.push_back({core::Command::Kind::stop, {"req-000412", 3}, 2, 10});
@@ -173,7 +173,7 @@
                  {"mem_gb", 768},   {"local_gb", 200},   {"fetch_gb_per_s", 1.0},
                  {"rate", 12.0},    {"spot_price", 4.5}, {"ready_s", 45},
                  {"marshes", {"a"}}};
-    return {report,
+    return {heartbeat,
             {{"uid", "req-000412"}, {"flock", "train"},    {"crew", "vision"}, {"gait", "gang"},
              {"rank", "high"},      {"hatchlings", 16},    {"cpus", 8.0},      {"gpus", 1.0},
              {"mem_gb", 64.0},      {"plumage", "img-07"}, {"size_gb", 6.2},   {"breeds", {"g8"}},
@@ -192,44 +192,45 @@
             {{"breeds", {type}}}};
 }
 
-// What is taken of a submission keeps the protocol's bounds.
+// An accepted submission is within the protocol's bounds.
 void check_submission(const std::string& body) {
-    auto s = wire::decode_submission(body);
-    if (s) {
-        EXPECT_TRUE(wire::is_valid_uid(s->uid));
-        EXPECT_TRUE(s->tasks >= 1 && s->tasks <= 100000);
+    auto spec = wire::decode_submission(body);
+    if (spec) {
+        EXPECT_TRUE(wire::is_valid_uid(spec->uid));
+        EXPECT_TRUE(spec->tasks >= 1 && spec->tasks <= 100000);
         for (double amount :
-             {s->task_resources.cpus, s->task_resources.gpus, s->task_resources.memory_gb,
-              s->image_gb, s->estimate_s, s->checkpoint_s}) {
+             {spec->task_resources.cpus, spec->task_resources.gpus, spec->task_resources.memory_gb,
+              spec->image_gb, spec->estimate_s, spec->checkpoint_s}) {
             EXPECT_TRUE(std::isfinite(amount) && amount >= 0);
         }
     } else {
-        EXPECT_NE(s.error().error.message, "");
+        EXPECT_NE(spec.error().error.message, "");
     }
 }
 
-void read_as_everything(const std::string& body) {
+void decode_as_every_type(const std::string& body) {
     check_submission(body);
     wire::decode_peer_call(body);
     wire::decode_peer_reply(body);
     auto value = wire::decode_cbor(body);
-    if (auto report = value ? wire::decode_heartbeat(*value).to_optional() : std::nullopt) {
-        // What is passed on to a peer reads as it did here.
-        auto passed = wire::encode_heartbeat(*report);
-        auto again = wire::decode_heartbeat(passed);
-        ASSERT_TRUE(again);
-        EXPECT_EQ(wire::encode_heartbeat(*again).dump(), passed.dump());
+    if (auto heartbeat = value ? wire::decode_heartbeat(*value).to_optional() : std::nullopt) {
+        // A heartbeat relayed to a peer decodes there as it does here.
+        auto relayed = wire::encode_heartbeat(*heartbeat);
+        auto decoded = wire::decode_heartbeat(relayed);
+        ASSERT_TRUE(decoded);
+        EXPECT_EQ(wire::encode_heartbeat(*decoded).dump(), relayed.dump());
     }
-    using SK = core::StoreCall::Kind;
-    for (auto kind : {SK::get, SK::list, SK::txn, SK::watch, SK::grant, SK::renew}) {
+    using StoreKind = core::StoreCall::Kind;
+    for (auto kind : {StoreKind::get, StoreKind::list, StoreKind::txn, StoreKind::watch,
+                      StoreKind::grant, StoreKind::renew}) {
         core::StoreCall call;
         call.kind = kind;
         for (int status : {200, 400, 404, 409, 410, 429, 503}) {
             wire::decode_store_reply(call, status, body);
         }
     }
-    using CK = core::CloudCall::Kind;
-    for (auto kind : {CK::types, CK::launch, CK::release, CK::list}) {
+    using CloudKind = core::CloudCall::Kind;
+    for (auto kind : {CloudKind::types, CloudKind::launch, CloudKind::release, CloudKind::list}) {
         core::CloudCall call;
         call.kind = kind;
         for (int status : {200, 400, 429, 503}) {
@@ -238,58 +239,58 @@
     }
 }
 
-TEST(Fuzz, DamagedMessagesAreRefusedOrTakenWhole) {
-    auto all = messages();
+TEST(Fuzz, DamagedMessagesAreRejectedOrDecodedWithinBounds) {
+    auto messages = sample_messages();
     for (unsigned seed = 1; seed <= 1200; ++seed) {
         SCOPED_TRACE(seed);
-        Draw draw(seed);
-        const Json& one = all[draw.below(all.size())];
-        read_as_everything(draw.damaged(wire::encode_cbor(one)));
-        read_as_everything(wire::encode_cbor(draw.odd(one)));
+        InputGenerator generator(seed);
+        const Json& message = messages[generator.below(messages.size())];
+        decode_as_every_type(generator.damaged(wire::encode_cbor(message)));
+        decode_as_every_type(wire::encode_cbor(generator.with_odd_value(message)));
     }
 }
 
 // --- settings -----------------------------------------------------------------------------
 
-TEST(Fuzz, DamagedSettingsEndInOneErrorOrKeepTheirBounds) {
+TEST(Fuzz, DamagedSettingsGiveAOneLineErrorOrValuesWithinBounds) {
     const auto numbers =
         std::to_array<std::string>({"1e300", "-1", "nan", "inf", "\"x\"", "99999999999999999999"});
     for (unsigned seed = 1; seed <= 1500; ++seed) {
         SCOPED_TRACE(seed);
-        Draw draw(seed);
+        InputGenerator generator(seed);
         std::string text = test::sample_settings;
-        if (draw.below(2) == 0) {
-            text = draw.damaged(text);
+        if (generator.below(2) == 0) {
+            text = generator.damaged(text);
         } else {
-            std::size_t at = text.find(" = ", draw.below(text.size()));
+            std::size_t at = text.find(" = ", generator.below(text.size()));
             if (at != std::string::npos) {
-                text.replace(at + 3, text.find('\n', at) - at - 3, draw.of(numbers));
+                text.replace(at + 3, text.find('\n', at) - at - 3, generator.pick(numbers));
             }
         }
         try {
-            auto s = config::parse_settings(text, "s.toml");
-            EXPECT_GE(s.store_txn_ops_max, 3);
-            EXPECT_GE(s.max_connections, 16);
-            EXPECT_GT(s.heartbeat_interval_s, 0);
-        } catch (const config::Error& e) {
-            EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
+            auto settings = config::parse_settings(text, "s.toml");
+            EXPECT_GE(settings.store_txn_ops_max, 3);
+            EXPECT_GE(settings.max_connections, 16);
+            EXPECT_GT(settings.heartbeat_interval_s, 0);
+        } catch (const config::Error& error) {
+            EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
         }
     }
 }
 
-TEST(Fuzz, DamagedOperatorsSettingsEndInOneErrorOrKeepTheirBounds) {
+TEST(Fuzz, DamagedOperatorsFilesGiveAnErrorThatNamesTheFileOrValuesWithinBounds) {
     const std::string good =
         "<cranemoor>\n<!-- W --><locality-wait-s>7.5</locality-wait-s>\n"
         "<final-states>100</final-states><silence-s>30</silence-s>\n</cranemoor>";
     for (unsigned seed = 1; seed <= 1500; ++seed) {
         SCOPED_TRACE(seed);
-        Draw draw(seed);
+        InputGenerator generator(seed);
         try {
-            auto t = config::parse_operators(draw.damaged(good), "o.xml");
-            EXPECT_TRUE(t.locality_wait_s >= 0 && t.locality_wait_s <= 600);
-            EXPECT_TRUE(t.final_states_max >= 0 && t.final_states_max <= 100000);
-        } catch (const config::Error& e) {
-            EXPECT_NE(std::string(e.what()).find("o.xml"), std::string::npos);
+            auto settings = config::parse_operators(generator.damaged(good), "o.xml");
+            EXPECT_TRUE(settings.locality_wait_s >= 0 && settings.locality_wait_s <= 600);
+            EXPECT_TRUE(settings.final_states_max >= 0 && settings.final_states_max <= 100000);
+        } catch (const config::Error& error) {
+            EXPECT_NE(std::string(error.what()).find("o.xml"), std::string::npos);
         }
     }
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire's decoders on good, odd and malformed messages.
+// Message decoders on valid, unusual and malformed input.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -24,32 +24,32 @@
             {"flight_s", 240.0},   {"nestmark_s", 30.0},  {"preen_s", 4.0},   {"dusk_s", 900.0}};
 }
 
-TEST(Wire, ReadsASubmission) {
-    auto read = decode_submission(encode_cbor(submission()));
-    const JobSpec* s = read ? &*read : nullptr;
-    ASSERT_NE(s, nullptr);
-    EXPECT_EQ(s->uid, "req-000412");
-    EXPECT_EQ(s->kind, JobKind::gang);
-    EXPECT_EQ(s->priority, Priority::high);
-    EXPECT_EQ(s->tasks, 16);
-    EXPECT_EQ(s->machine_types, std::vector<std::string>{"g8"});
-    EXPECT_FALSE(s->zone);
-    EXPECT_EQ(s->deadline_s, 900.0);
+TEST(Wire, DecodesASubmission) {
+    auto decoded = decode_submission(encode_cbor(submission()));
+    const JobSpec* job = decoded ? &*decoded : nullptr;
+    ASSERT_NE(job, nullptr);
+    EXPECT_EQ(job->uid, "req-000412");
+    EXPECT_EQ(job->kind, JobKind::gang);
+    EXPECT_EQ(job->priority, Priority::high);
+    EXPECT_EQ(job->tasks, 16);
+    EXPECT_EQ(job->machine_types, std::vector<std::string>{"g8"});
+    EXPECT_FALSE(job->zone);
+    EXPECT_EQ(job->deadline_s, 900.0);
 }
 
-TEST(Wire, FieldsThatMayBeNullMayBeMissingAndUnknownOnesAreIgnored) {
-    auto v = submission();
-    v.erase("breeds");
-    v.erase("marsh");
-    v.erase("dusk_s");
-    v["plume_colour"] = "red";
-    auto read = decode_submission(encode_cbor(v));
-    EXPECT_TRUE(read);
+TEST(Wire, NullableFieldsMayBeMissingAndUnknownFieldsAreIgnored) {
+    auto fields = submission();
+    fields.erase("breeds");
+    fields.erase("marsh");
+    fields.erase("dusk_s");
+    fields["plume_colour"] = "red";
+    auto decoded = decode_submission(encode_cbor(fields));
+    EXPECT_TRUE(decoded);
 }
 
-TEST(Wire, EveryNeededFieldIsNeededAndChecked) {
-    const Json whole = submission();
-    for (const auto& [key, value] : whole.items()) {
+TEST(Wire, RequiredFieldsMissingOrOfTheWrongTypeAreRejected) {
+    const Json valid = submission();
+    for (const auto& [key, value] : valid.items()) {
         if (key == "breeds" || key == "marsh" || key == "dusk_s") {
             continue;
         }
@@ -62,7 +62,7 @@
     }
 }
 
-TEST(Wire, OutOfRangeIsInvalidAndNamesTheField) {
+TEST(Wire, InvalidFieldValuesAreRejectedWithTheFieldName) {
     const auto cases = std::to_array<std::pair<const char*, Json>>({{"hatchlings", 0},
                                                                     {"hatchlings", 100001},
                                                                     {"hatchlings", 1.5},
@@ -76,73 +76,73 @@
                                                                     {"marsh", 7},
                                                                     {"dusk_s", "soon"}});
     for (const auto& [key, value] : cases) {
-        auto v = submission();
-        v[key] = value;
-        auto read = decode_submission(encode_cbor(v));
-        ASSERT_FALSE(read) << key;
-        EXPECT_EQ(read.error().uid, "req-000412");
-        EXPECT_EQ(read.error().error.field, key);
-        const std::string& message = read.error().error.message;
+        auto fields = submission();
+        fields[key] = value;
+        auto decoded = decode_submission(encode_cbor(fields));
+        ASSERT_FALSE(decoded) << key;
+        EXPECT_EQ(decoded.error().uid, "req-000412");
+        EXPECT_EQ(decoded.error().error.field, key);
+        const std::string& message = decoded.error().error.message;
         EXPECT_NE(message.find(key), std::string::npos) << message;
     }
     for (const char* uid : {"", "req-", "job-000412", "req-12a", "req-000412/1"}) {
-        auto v = submission();
-        v["uid"] = uid;
-        auto read = decode_submission(encode_cbor(v));
-        ASSERT_FALSE(read) << uid;
-        EXPECT_FALSE(read.error().uid);
+        auto fields = submission();
+        fields["uid"] = uid;
+        auto decoded = decode_submission(encode_cbor(fields));
+        ASSERT_FALSE(decoded) << uid;
+        EXPECT_FALSE(decoded.error().uid);
     }
 }
 
-TEST(Wire, WhatAJobFollowsIsAListOfJobs) {
-    auto v = submission();
-    for (const Json& none : {Json(nullptr), Json::array()}) {
-        v["follows"] = none;
-        EXPECT_TRUE(decode_submission(encode_cbor(v))->depends_on.empty());
+TEST(Wire, DependenciesAreAListOfJobUidsWithoutDuplicates) {
+    auto fields = submission();
+    for (const Json& empty : {Json(nullptr), Json::array()}) {
+        fields["follows"] = empty;
+        EXPECT_TRUE(decode_submission(encode_cbor(fields))->depends_on.empty());
     }
-    v["follows"] = {"req-000405", "req-000398", "req-000405"};
+    fields["follows"] = {"req-000405", "req-000398", "req-000405"};
     std::vector<std::string> once = {"req-000398", "req-000405"};
-    EXPECT_EQ(decode_submission(encode_cbor(v))->depends_on, once);
+    EXPECT_EQ(decode_submission(encode_cbor(fields))->depends_on, once);
     for (const Json& wrong :
          {Json("req-000398"), Json({1}), Json({"req-000398", ""}), Json({"000398"})}) {
-        v["follows"] = wrong;
-        auto read = decode_submission(encode_cbor(v));
-        ASSERT_FALSE(read) << wrong;
-        EXPECT_EQ(read.error().error.message, "field missing or invalid: follows");
-        EXPECT_EQ(read.error().uid, "req-000412");
+        fields["follows"] = wrong;
+        auto decoded = decode_submission(encode_cbor(fields));
+        ASSERT_FALSE(decoded) << wrong;
+        EXPECT_EQ(decoded.error().error.message, "field missing or invalid: follows");
+        EXPECT_EQ(decoded.error().uid, "req-000412");
     }
 }
 
-TEST(Wire, TextThatIsNoUtf8IsRefused) {
-    // Such a text once ended the process: it can be written into no record.
-    auto v = submission();
-    v["flock"] = "\xff\xfe";
-    auto read = decode_submission(encode_cbor(v));
-    ASSERT_FALSE(read);
-    EXPECT_EQ(read.error().error.message, "not UTF-8");
-    EXPECT_EQ(read.error().uid, "req-000412");
+TEST(Wire, SubmissionWithInvalidUtf8IsRejected) {
+    // Text that is not UTF-8 cannot be serialized into a record, and the attempt ended the process.
+    auto fields = submission();
+    fields["flock"] = "\xff\xfe";
+    auto decoded = decode_submission(encode_cbor(fields));
+    ASSERT_FALSE(decoded);
+    EXPECT_EQ(decoded.error().error.message, "not UTF-8");
+    EXPECT_EQ(decoded.error().uid, "req-000412");
 }
 
-TEST(Wire, AReportWithSuchATextIsRefusedToo) {
-    // Its machine and zone go into records: writing them would have ended the process.
-    Heartbeat r{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
-    ASSERT_TRUE(decode_heartbeat(encode_heartbeat(r)));
-    for (auto* text : {&r.machine, &r.zone, &r.type}) {
-        auto good = std::exchange(*text, "\xff\xfe");
-        EXPECT_FALSE(decode_heartbeat(encode_heartbeat(r)));
-        *text = good;
+TEST(Wire, HeartbeatWithInvalidUtf8IsRejected) {
+    // Machine and zone are written into records: serializing invalid text would end the process.
+    Heartbeat heartbeat{"vm-1", "10.0.0.1:1", "t8", "a", false, 1, 1, 0, std::nullopt, {}};
+    ASSERT_TRUE(decode_heartbeat(encode_heartbeat(heartbeat)));
+    for (auto* text : {&heartbeat.machine, &heartbeat.zone, &heartbeat.type}) {
+        auto valid = std::exchange(*text, "\xff\xfe");
+        EXPECT_FALSE(decode_heartbeat(encode_heartbeat(heartbeat)));
+        *text = valid;
     }
 }
 
-TEST(Wire, APeerThatAnswersOddlyEndsNothing) {
-    // Found by the generated messages: a home that is no text ended the process.
+TEST(Wire, PeerReplyWithANonStringHomeIsRejected) {
+    // A reply whose "home" was not a string ended the process (found with generated messages).
     Json reply = {{"status", 421}, {"token", 1}, {"home", 7}, {"commands", Json::array()}};
     EXPECT_FALSE(decode_peer_reply(encode_cbor(reply)));
     reply["home"] = "";
     EXPECT_TRUE(decode_peer_reply(encode_cbor(reply)));
 }
 
-TEST(Wire, WhatIsNotCborIsRefusedHoweverDeep) {
+TEST(Wire, InvalidCborIsRejectedAtAnyNestingDepth) {
     EXPECT_FALSE(decode_cbor(""));
     EXPECT_FALSE(decode_cbor("{\"uid\":1}"));
     EXPECT_FALSE(decode_cbor(encode_cbor(submission()) + "x"));
@@ -150,83 +150,85 @@
     for (std::size_t n = 0; n < text.size(); ++n) {
         EXPECT_FALSE(decode_cbor(text.substr(0, n))) << n;
     }
-    // Nothing but opening brackets, or maps in maps: must not exhaust the stack.
+    // Arrays or maps nested 65536 deep must not exhaust the stack.
     EXPECT_FALSE(decode_cbor(std::string(64UL * 1024, '\x81')));
     EXPECT_FALSE(decode_cbor(std::string(64UL * 1024, '\xa1')));
-    EXPECT_FALSE(decode_cbor(std::string("\x41z", 2)));  // binary
+    EXPECT_FALSE(decode_cbor(std::string("\x41z", 2)));  // byte string
     EXPECT_FALSE(decode_submission(encode_cbor(Json::array())));
 }
 
-TEST(Wire, ReportsSurviveTheWayThroughARelay) {
-    Heartbeat r{"vm-1",
-                "10.1.0.1:9",
-                "g8",
-                "a",
-                true,
-                2,
-                88,
-                41,
-                7.5,
-                {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
-                 {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
-    auto back = decode_heartbeat(*decode_cbor(encode_cbor(encode_heartbeat(r))));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->agent_epoch, 2U);
-    EXPECT_EQ(back->interruption_notice_s, 7.5);
-    ASSERT_EQ(back->tasks.size(), 2U);
-    EXPECT_EQ(back->tasks[1].exit_reason, ExitReason::stopped);
-    EXPECT_TRUE(back->tasks[1].saved);
+TEST(Wire, HeartbeatAndPeerReplyRoundTrip) {
+    Heartbeat heartbeat{"vm-1",
+                        "10.1.0.1:9",
+                        "g8",
+                        "a",
+                        true,
+                        2,
+                        88,
+                        41,
+                        7.5,
+                        {{{"req-000412", 3}, 2, TaskState::running, ExitReason::none, false},
+                         {{"req-000398", 0}, 1, TaskState::exited, ExitReason::stopped, true}}};
+    auto decoded = decode_heartbeat(*decode_cbor(encode_cbor(encode_heartbeat(heartbeat))));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->agent_epoch, 2U);
+    EXPECT_EQ(decoded->interruption_notice_s, 7.5);
+    ASSERT_EQ(decoded->tasks.size(), 2U);
+    EXPECT_EQ(decoded->tasks[1].exit_reason, ExitReason::stopped);
+    EXPECT_TRUE(decoded->tasks[1].saved);
     WorkerReply reply{0, 200, 41, "", {{Command::Kind::stop, {"req-000412", 3}, 2, 10}}};
-    auto answer = decode_peer_reply(encode_peer_reply(reply));
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->commands[0].grace_s, 10);
-    EXPECT_EQ(answer->token, 41U);
+    auto decoded_reply = decode_peer_reply(encode_peer_reply(reply));
+    ASSERT_TRUE(decoded_reply);
+    EXPECT_EQ(decoded_reply->commands[0].grace_s, 10);
+    EXPECT_EQ(decoded_reply->token, 41U);
 }
 
-TEST(Wire, AHeartbeatCarriesWhatIsSaidOfLeasesAndNoneIsOfAVersionBefore) {
+TEST(Wire, PeerCallRoundTripsWithAndWithoutALeaseHeartbeat) {
     PeerCall call;
     call.has_store_contact = true;
-    auto before = decode_peer_call(encode_peer_call("n1", call));
-    ASSERT_TRUE(before);
-    EXPECT_FALSE(before->call.lease);
-    LeaseHeartbeat& said = call.lease.emplace();
-    said.heartbeat.boot = "b1";
-    said.heartbeat.beat = 7;
-    said.heartbeat.heard_boot = "b2";
-    said.heartbeat.heard_beat = 9;
-    said.heartbeat.wants = true;
-    said.heartbeat.grant = read_leases::Grant::full;
-    said.cancelled.push_back({"req-000412", 1.7e9 + 0.25});
-    auto read = decode_peer_call(encode_peer_call("n1", call));
-    ASSERT_TRUE(read && read->call.lease);
-    const auto& w = read->call.lease->heartbeat;
-    EXPECT_EQ(std::tie(w.boot, w.heard_boot), std::make_tuple("b1", "b2"));
-    EXPECT_EQ(std::tie(w.beat, w.heard_beat, w.wants), std::make_tuple(7U, 9U, true));
-    EXPECT_EQ(w.grant, read_leases::Grant::full);
-    ASSERT_EQ(read->call.lease->cancelled.size(), 1U);
-    EXPECT_EQ(read->call.lease->cancelled[0].uid, "req-000412");
-    EXPECT_EQ(read->call.lease->cancelled[0].cancelled_wall, 1.7e9 + 0.25);
-    auto odd = *decode_cbor(encode_peer_call("n1", call));
-    odd["lease"]["grant"] = "perhaps";
-    EXPECT_FALSE(decode_peer_call(encode_cbor(odd)));
+    auto without_lease = decode_peer_call(encode_peer_call("n1", call));
+    ASSERT_TRUE(without_lease);
+    EXPECT_FALSE(without_lease->call.lease);
+    LeaseHeartbeat& lease = call.lease.emplace();
+    lease.heartbeat.boot = "b1";
+    lease.heartbeat.beat = 7;
+    lease.heartbeat.heard_boot = "b2";
+    lease.heartbeat.heard_beat = 9;
+    lease.heartbeat.wants = true;
+    lease.heartbeat.grant = read_leases::Grant::full;
+    lease.cancelled.push_back({"req-000412", 1.7e9 + 0.25});
+    auto decoded = decode_peer_call(encode_peer_call("n1", call));
+    ASSERT_TRUE(decoded && decoded->call.lease);
+    const auto& heartbeat = decoded->call.lease->heartbeat;
+    EXPECT_EQ(std::tie(heartbeat.boot, heartbeat.heard_boot), std::make_tuple("b1", "b2"));
+    EXPECT_EQ(std::tie(heartbeat.beat, heartbeat.heard_beat, heartbeat.wants),
+              std::make_tuple(7U, 9U, true));
+    EXPECT_EQ(heartbeat.grant, read_leases::Grant::full);
+    ASSERT_EQ(decoded->call.lease->cancelled.size(), 1U);
+    EXPECT_EQ(decoded->call.lease->cancelled[0].uid, "req-000412");
+    EXPECT_EQ(decoded->call.lease->cancelled[0].cancelled_wall, 1.7e9 + 0.25);
+    auto invalid = *decode_cbor(encode_peer_call("n1", call));
+    invalid["lease"]["grant"] = "perhaps";
+    EXPECT_FALSE(decode_peer_call(encode_cbor(invalid)));
 }
 
-TEST(Wire, AnUnreadableReportIsNone) {
-    auto good = encode_heartbeat({"vm-1", "x:1", "g8", "a", false, 1, 1, 0, std::nullopt, {}});
-    ASSERT_TRUE(decode_heartbeat(good));
+TEST(Wire, HeartbeatWithMalformedTasksIsRejectedButUnknownCausesAreAccepted) {
+    auto valid = encode_heartbeat({"vm-1", "x:1", "g8", "a", false, 1, 1, 0, std::nullopt, {}});
+    ASSERT_TRUE(decode_heartbeat(valid));
     for (const char* task : {"req-000412", "/3", "req-000412/", "req-000412/x", "a/999999999"}) {
-        auto bad = good;
-        bad["hatchlings"] = {{{"hatchling", task}, {"launch", 1}, {"stance", "running"}}};
-        EXPECT_FALSE(decode_heartbeat(bad)) << task;
+        auto invalid = valid;
+        invalid["hatchlings"] = {{{"hatchling", task}, {"launch", 1}, {"stance", "running"}}};
+        EXPECT_FALSE(decode_heartbeat(invalid)) << task;
     }
-    auto cause = good;
-    cause["hatchlings"] = {
+    auto unknown_cause = valid;
+    unknown_cause["hatchlings"] = {
         {{"hatchling", "req-000412/1"}, {"launch", 1}, {"stance", "ended"}, {"cause", "meteor"}}};
-    ASSERT_TRUE(decode_heartbeat(cause));  // a cause of a later version still ends the task
-    EXPECT_EQ(decode_heartbeat(cause)->tasks[0].exit_reason, ExitReason::other);
+    // A cause that only a later version knows still ends the task.
+    ASSERT_TRUE(decode_heartbeat(unknown_cause));
+    EXPECT_EQ(decode_heartbeat(unknown_cause)->tasks[0].exit_reason, ExitReason::other);
 }
 
-TEST(Wire, StateAnswersByStatus) {
+TEST(Wire, StoreRepliesAreClassifiedByStatus) {
     StoreCall txn;
     auto status = [&](int code, const Json& body) {
         return decode_store_reply(txn, code, encode_cbor(body)).status;
@@ -242,34 +244,34 @@
     EXPECT_EQ(status(500, Json::object()), S::unknown);
     StoreCall watch;
     watch.kind = StoreCall::Kind::watch;
-    auto r =
+    auto reply =
         decode_store_reply(watch, 200,
                            encode_cbor({{"tide", 433},
                                         {"log",
                                          {{{"put", "c/9"}, {"value", {{"a", 1}}}, {"ripple", 433}},
                                           {{"drop", "c/d"}, {"ripple", 432}}}}}));
-    ASSERT_EQ(r.events.size(), 2U);
-    EXPECT_EQ(r.events[0].key, "c/d");  // in order of revision
-    EXPECT_FALSE(r.events[0].value);
+    ASSERT_EQ(reply.events.size(), 2U);
+    EXPECT_EQ(reply.events[0].key, "c/d");  // sorted by revision
+    EXPECT_FALSE(reply.events[0].value);
     EXPECT_EQ(decode_store_reply(watch, 200, "garbage").status, S::unknown);
 }
 
-TEST(Wire, CloudAnswersByStatus) {
-    CloudCall rent;
-    rent.kind = CloudCall::Kind::launch;
+TEST(Wire, CloudRepliesAreClassifiedByStatus) {
+    CloudCall launch;
+    launch.kind = CloudCall::Kind::launch;
     using S = CloudReply::Status;
-    EXPECT_EQ(decode_cloud_reply(rent, 503, encode_cbor({{"error", "no capacity"}})).status,
+    EXPECT_EQ(decode_cloud_reply(launch, 503, encode_cbor({{"error", "no capacity"}})).status,
               S::no_capacity);
-    EXPECT_EQ(decode_cloud_reply(rent, 503, encode_cbor({{"error", "trouble"}})).status,
+    EXPECT_EQ(decode_cloud_reply(launch, 503, encode_cbor({{"error", "trouble"}})).status,
               S::unknown);
-    EXPECT_EQ(decode_cloud_reply(rent, 429, "").status, S::refused);
-    EXPECT_EQ(decode_cloud_reply(rent, 400, "").status, S::bad_request);
-    auto ok = decode_cloud_reply(rent, 200, encode_cbor({{"roosts", {"vm-1"}}}));
-    EXPECT_EQ(ok.machines, std::vector<std::string>{"vm-1"});
-    EXPECT_EQ(decode_cloud_reply(rent, 200, encode_cbor({{"roosts", 7}})).status, S::unknown);
+    EXPECT_EQ(decode_cloud_reply(launch, 429, "").status, S::refused);
+    EXPECT_EQ(decode_cloud_reply(launch, 400, "").status, S::bad_request);
+    auto launched = decode_cloud_reply(launch, 200, encode_cbor({{"roosts", {"vm-1"}}}));
+    EXPECT_EQ(launched.machines, std::vector<std::string>{"vm-1"});
+    EXPECT_EQ(decode_cloud_reply(launch, 200, encode_cbor({{"roosts", 7}})).status, S::unknown);
 }
 
-TEST(Wire, TargetsAreEscaped) {
+TEST(Wire, RequestTargetsArePercentEncoded) {
     StoreCall list;
     list.kind = StoreCall::Kind::list;
     list.key = "c/";
