--- a/tests/answer_history_test.cpp
+++ b/tests/answer_history_test.cpp
@@ -7,54 +7,55 @@
 
 struct AnswerHistoryTest : ::testing::Test {
     AnswerHistory history;
-    std::uint64_t next = 0;
-    double now = 0;
-    std::uint64_t ask() {
-        history.record_request(++next, "req-000001", now += 1);
-        return next;
+    std::uint64_t last_request = 0;
+    double now_s = 0;
+    std::uint64_t send_request() {
+        history.record_request(++last_request, "req-000001", now_s += 1);
+        return last_request;
     }
-    // The rule that the answer breaks.
-    std::string tell(std::uint64_t request, int status, const std::string& state) {
-        core::UserReply r;
-        r.request = request;
-        r.status = status;
-        r.state = state;
-        auto broken = history.check_reply(r, now += 1);
-        return broken.substr(0, broken.find(':'));
+    // Name of the rule that the reply breaks; empty if it breaks none.
+    std::string broken_rule(std::uint64_t request, int status, const std::string& state) {
+        core::UserReply reply;
+        reply.request = request;
+        reply.status = status;
+        reply.state = state;
+        auto violation = history.check_reply(reply, now_s += 1);
+        return violation.substr(0, violation.find(':'));
     }
 };
 
-TEST_F(AnswerHistoryTest, EachWayOfGoingBackIsNamed) {
-    EXPECT_EQ(tell(ask(), 404, ""), "");
-    EXPECT_EQ(tell(ask(), 201, "queued"), "");
-    EXPECT_EQ(tell(ask(), 404, ""), "forgotten");
-    EXPECT_EQ(tell(ask(), 422, ""), "forgotten");
-    EXPECT_EQ(tell(ask(), 200, "running"), "");
-    EXPECT_EQ(tell(ask(), 200, "queued"), "");  // only accepted, done and cancelled bind
-    EXPECT_EQ(tell(ask(), 200, "done"), "");
-    EXPECT_EQ(tell(ask(), 200, "running"), "went_back");
-    EXPECT_EQ(tell(ask(), 200, "cancelled"), "went_back");
-    EXPECT_EQ(tell(ask(), 503, ""), "");
+TEST_F(AnswerHistoryTest, EachKindOfStateRegressionIsReported) {
+    EXPECT_EQ(broken_rule(send_request(), 404, ""), "");
+    EXPECT_EQ(broken_rule(send_request(), 201, "queued"), "");
+    EXPECT_EQ(broken_rule(send_request(), 404, ""), "forgotten");
+    EXPECT_EQ(broken_rule(send_request(), 422, ""), "forgotten");
+    EXPECT_EQ(broken_rule(send_request(), 200, "running"), "");
+    // Only accepted, done and cancelled are binding.
+    EXPECT_EQ(broken_rule(send_request(), 200, "queued"), "");
+    EXPECT_EQ(broken_rule(send_request(), 200, "done"), "");
+    EXPECT_EQ(broken_rule(send_request(), 200, "running"), "went_back");
+    EXPECT_EQ(broken_rule(send_request(), 200, "cancelled"), "went_back");
+    EXPECT_EQ(broken_rule(send_request(), 503, ""), "");
 }
 
 TEST_F(AnswerHistoryTest, ACancelledJobStaysCancelled) {
-    EXPECT_EQ(tell(ask(), 200, "cancelled"), "");
-    EXPECT_EQ(tell(ask(), 201, "queued"), "went_back");
-    EXPECT_EQ(tell(ask(), 200, "done"), "went_back");
-    EXPECT_EQ(tell(ask(), 200, "cancelled"), "");
+    EXPECT_EQ(broken_rule(send_request(), 200, "cancelled"), "");
+    EXPECT_EQ(broken_rule(send_request(), 201, "queued"), "went_back");
+    EXPECT_EQ(broken_rule(send_request(), 200, "done"), "went_back");
+    EXPECT_EQ(broken_rule(send_request(), 200, "cancelled"), "");
 }
 
-TEST_F(AnswerHistoryTest, OfAnswersUnderWayAtOnceEitherMayBeTheOlder) {
-    auto early = ask();
-    auto other = ask();
-    EXPECT_EQ(tell(other, 200, "cancelled"), "");
-    EXPECT_EQ(tell(early, 200, "running"), "");
+TEST_F(AnswerHistoryTest, RepliesToConcurrentRequestsMayComeInEitherOrder) {
+    auto earlier_request = send_request();
+    auto later_request = send_request();
+    EXPECT_EQ(broken_rule(later_request, 200, "cancelled"), "");
+    EXPECT_EQ(broken_rule(earlier_request, 200, "running"), "");
 }
 
-TEST_F(AnswerHistoryTest, AJobDoesNotEndInTwoWaysHoweverTheAnswersLie) {
-    auto early = ask();
-    EXPECT_EQ(tell(ask(), 200, "done"), "");
-    EXPECT_EQ(tell(early, 200, "cancelled"), "went_back");
+TEST_F(AnswerHistoryTest, TwoDifferentFinalStatesAreReportedEvenForConcurrentRequests) {
+    auto earlier_request = send_request();
+    EXPECT_EQ(broken_rule(send_request(), 200, "done"), "");
+    EXPECT_EQ(broken_rule(earlier_request, 200, "cancelled"), "went_back");
 }
 
 }  // namespace
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -1,4 +1,4 @@
-// Who keeps a connection when sockets run short.
+// Which connections are kept open and which are shed when sockets run short.
 #include <gtest/gtest.h>
 
 #include "sockets/connection_shedding.hpp"
@@ -6,18 +6,20 @@
 namespace cranemoor::sockets {
 namespace {
 
-TEST(ConnectionShedding, WorkersKeepTheirsLongestAndGoLast) {
+TEST(ConnectionShedding, WorkerConnectionsAreKeptLongestAndShedLast) {
     auto unknown = shed_policy(ClientKind::unknown);
     auto user = shed_policy(ClientKind::user);
     auto worker = shed_policy(ClientKind::worker);
     EXPECT_LT(unknown.rank, user.rank);
     EXPECT_LT(user.rank, worker.rank);
-    constexpr std::size_t most = 2000;
-    for (std::size_t taken = 0; taken <= most; ++taken) {
-        EXPECT_TRUE(!keep_open(user, taken, most) || keep_open(worker, taken, most));
+    constexpr std::size_t sockets_max = 2000;
+    for (std::size_t sockets_used = 0; sockets_used <= sockets_max; ++sockets_used) {
+        EXPECT_TRUE(!keep_open(user, sockets_used, sockets_max) ||
+                    keep_open(worker, sockets_used, sockets_max));
     }
-    EXPECT_TRUE(keep_open(user, 0, most));
-    EXPECT_FALSE(keep_open(worker, most, most));  // a full house keeps nobody
+    EXPECT_TRUE(keep_open(user, 0, sockets_max));
+    // At the limit no connection is kept open.
+    EXPECT_FALSE(keep_open(worker, sockets_max, sockets_max));
 }
 
 }  // namespace
