--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -15,7 +15,8 @@
     EXPECT_FALSE(hysteresis.update(0.5, 0.3, 1.0));  // a short drop restarts the delay
     EXPECT_FALSE(hysteresis.update(1.0, 0.5, 1.0));
     EXPECT_TRUE(hysteresis.update(2.0, 0.5, 1.0));
-    EXPECT_TRUE(hysteresis.update(3.0, 0.0, 0.9));  // little waiting, but only due to shared records
+    EXPECT_TRUE(
+        hysteresis.update(3.0, 0.0, 0.9));  // little waiting, but only due to shared records
     EXPECT_TRUE(hysteresis.update(17.0, 0.0, 0.5));
     EXPECT_TRUE(hysteresis.update(31.0, 0.0, 0.5));
     EXPECT_FALSE(hysteresis.update(32.0, 0.0, 0.5));
