--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -160,7 +160,7 @@
     core::PeerCall relay;
     relay.relayed_heartbeat = wire::decode_heartbeat(heartbeat).to_optional();
     core::LeaseHeartbeat& lease = relay.lease.emplace();
-    lease.heartbeat.boot = lease.heartbeat.acknowledged_boot_id = "b1";
+    lease.heartbeat.boot_id = lease.heartbeat.acknowledged_boot_id = "b1";
     lease.heartbeat.grant = read_leases::Grant::full;
     lease.cancelled.push_back({"req-000412", 1.7e9});
     core::WorkerReply reply;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -190,19 +190,20 @@
     ASSERT_TRUE(without_lease);
     EXPECT_FALSE(without_lease->call.lease);
     LeaseHeartbeat& lease = call.lease.emplace();
-    lease.heartbeat.boot = "b1";
-    lease.heartbeat.beat = 7;
+    lease.heartbeat.boot_id = "b1";
+    lease.heartbeat.sequence_number = 7;
     lease.heartbeat.acknowledged_boot_id = "b2";
     lease.heartbeat.acknowledged_sequence_number = 9;
-    lease.heartbeat.wants = true;
+    lease.heartbeat.relies_on_leases = true;
     lease.heartbeat.grant = read_leases::Grant::full;
     lease.cancelled.push_back({"req-000412", 1.7e9 + 0.25});
     auto decoded = decode_peer_call(encode_peer_call("n1", call));
     ASSERT_TRUE(decoded && decoded->call.lease);
     const auto& heartbeat = decoded->call.lease->heartbeat;
-    EXPECT_EQ(std::tie(heartbeat.boot, heartbeat.acknowledged_boot_id),
+    EXPECT_EQ(std::tie(heartbeat.boot_id, heartbeat.acknowledged_boot_id),
               std::make_tuple("b1", "b2"));
-    EXPECT_EQ(std::tie(heartbeat.beat, heartbeat.acknowledged_sequence_number, heartbeat.wants),
+    EXPECT_EQ(std::tie(heartbeat.sequence_number, heartbeat.acknowledged_sequence_number,
+                       heartbeat.relies_on_leases),
               std::make_tuple(7U, 9U, true));
     EXPECT_EQ(heartbeat.grant, read_leases::Grant::full);
     ASSERT_EQ(decoded->call.lease->cancelled.size(), 1U);
