--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -21,7 +21,7 @@
 constexpr auto elements = std::to_array<Element>({
     {"locality-wait-s", &core::Tunables::locality_wait_s, 0, 600},
     {"gang-hold-s", &core::Tunables::gang_reservation_s, 0, 3600},
-    {"share-timeout-s", &core::Tunables::min_share_timeout_s, 0, 3600},
+    {"share-timeout-s", &core::Tunables::guarantee_timeout_s, 0, 3600},
     {"headroom-machines", &core::Tunables::headroom_machines_max, 0, 1000},
     {"idle-return-s", &core::Tunables::idle_release_s, 0, 86400},
     {"final-states", &core::Tunables::final_states_max, 0, 100000},
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -83,8 +83,8 @@
 }
 
 void HeartbeatReplies::send_due() {
-    // Machines answered elsewhere leave the list only here. Until then the registry keeps them,
-    // since the list points to them; see `FailureDetector::can_forget`.
+    // Machines whose heartbeat another function has answered leave the list only here. Until then
+    // the registry keeps them, since the list points to them; see `FailureDetector::can_forget`.
     std::size_t kept = 0;
     for (Machine* machine : awaiting_reply_) {
         if (machine->open_request &&
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -191,7 +191,9 @@
         }
         const Job* job = ctx_.jobs.find(uid);
         if (job != nullptr && block >= job->block_count()) {
-            job = nullptr;  // numbered before the blocks were split; will be found again
+            // The block number dates from before the blocks were split: these exits are dropped,
+            // and TaskReconciliation finds them again.
+            job = nullptr;
         }
         if (job != nullptr && pending.needs_review) {
             // Drop the exits that the records contain already.
--- a/src/core/agents/release_marks.hpp
+++ b/src/core/agents/release_marks.hpp
@@ -13,7 +13,7 @@
 
 namespace cranemoor::core {
 
-/// The release marks (cordons) made by this controller, collected and written once per tick.
+/// The cordons (release marks) made by this controller, collected and written once per tick.
 class ReleaseMarks {
   public:
     /// `ctx`, `membership` and `registry` must outlive this object.
@@ -21,14 +21,14 @@
         : ctx_(ctx), membership_(membership), registry_(registry) {}
 
     /// Marks the machine for release (`fence`: also for fencing); `why` goes into the record and
-    /// the log. Does nothing while this controller can't write, or if such a mark exists already.
+    /// the log. Does nothing while this controller can't write, or if such a cordon exists already.
     void mark(Machine& machine, const std::string& why, bool fence);
-    /// Writes the marks made since the last call: one record per reason, or several if one would
+    /// Writes the cordons made since the last call: one record per reason, or several if one would
     /// be too large.
     void write();
 
   private:
-    // Machines with the same reason are marked by the same record.
+    // Machines with the same reason are cordoned by the same record.
     struct Reason {
         std::string why;
         bool fence = false;
@@ -36,7 +36,7 @@
             return std::tie(a.why, a.fence) < std::tie(b.why, b.fence);
         }
     };
-    // A transaction that is being built, and the machines that it marks.
+    // A transaction that is being built, and the machines that it cordons.
     struct Batch {
         Txn txn;
         std::set<std::string> machines;
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -100,7 +100,7 @@
 // are written again together with the new ones.
 Condition BatchedClaims::next_record() const {
     for (const auto& [key, outcome] : unknown_outcomes_) {
-        // The next write of the same record decides: only one of the two can be applied.
+        // The next write of the record resolves the outcome: only one of the two can be applied.
         if (!writes_in_flight_.contains(key) && !is_resolved(key)) {
             return {key, outcome.revision};
         }
--- a/src/core/jobs/batched_claims.hpp
+++ b/src/core/jobs/batched_claims.hpp
@@ -1,10 +1,15 @@
-/// Batched claims: while the admission table marks writes as scarce (`admission::Table::shared`),
-/// the claims and exits of many job-array tasks are written together into a few records of each
-/// controller (`keys::claim_batch`, stored type `ClaimBatch`) instead of one record per block.
-/// Claims in different records cannot see each other, so each block of such a job is assigned one
-/// owning controller (weighted rendezvous hashing, `admission::shard_owner`), and only that
-/// controller claims from it. Writes whose outcome is unknown are resolved before the record is
-/// used again.
+/// Batched claims: while the admission table marks writes as scarce
+/// (`admission::Table::write_overload`), the claims and exits of many job-array tasks are written
+/// together into a few records of each controller (`keys::claim_batch`, stored type `ClaimBatch`)
+/// instead of one record per block. Claims in different records cannot see each other, so each
+/// block of such a job is assigned one owning controller, and only that controller claims from it.
+/// `admission::shard_owner` chooses it: the hash of the block's name modulo the total weight of the
+/// members falls into one of consecutive ranges, one for each member and as long as its weight.
+/// While the outcome of a write is unknown, its claims go into no other record. `next_record()`
+/// returns the record of such a write before all others, with the revision that the write expected,
+/// and `tick()` writes it again without new entries under the same condition. Only one of these
+/// writes can be applied, so the next one that is applied rules out the first. The outcome counts
+/// as resolved once the replica shows another revision of the record or of the membership epoch.
 #pragma once
 
 #include <functional>
--- a/src/core/jobs/block_limits.hpp
+++ b/src/core/jobs/block_limits.hpp
@@ -6,8 +6,8 @@
 
 namespace cranemoor::core {
 
-/// Most tasks of a block whose record fits under the value limit. Even, so that spread rules per
-/// block add up.
+/// Most tasks of a block whose record fits under the value limit. Even, so that a job keeps to its
+/// zone spread rule if each of its blocks does.
 int tasks_per_block(const Context& ctx);
 /// Tasks of the largest gang that one transaction can claim: a larger gang could never be claimed
 /// as a whole, and so never start.
--- a/src/core/model/constants.hpp
+++ b/src/core/model/constants.hpp
@@ -14,7 +14,7 @@
     /// How long machines that become free are reserved for the first gang in its team's order.
     double gang_reservation_s = 20.0;
     /// How long a team may stay below its guarantee before newer work of other teams is preempted.
-    double min_share_timeout_s = 6.0;
+    double guarantee_timeout_s = 6.0;
     /// Most empty machines kept for jobs that have not been submitted yet; how many of these are
     /// kept follows demand.
     double headroom_machines_max = 100.0;
@@ -290,9 +290,10 @@
 /// Interval between removals of what is remembered of ended tasks and jobs: it does no harm, and a
 /// removal visits every task.
 inline constexpr double placement_prune_interval_s = 10.0;
-/// Adopted machines whose fencing token is raised in one tick. Each costs a connection and a
-/// heartbeat to read, in the very seconds after a restart of all controllers in which every worker
-/// sends its heartbeat anyway; this many adopt a third of a large fleet within five seconds.
+/// Newly owned machines, not adopted yet, whose fencing token is raised in one tick. Each costs a
+/// connection and a heartbeat to read, in the very seconds after a restart of all controllers in
+/// which every worker sends its heartbeat anyway; at this rate a third of a large fleet is adopted
+/// within five seconds.
 inline constexpr int token_raises_per_tick_max = 10;
 /// How long the exits of an array's tasks are collected for one write: nothing waits for them, and
 /// each write saved is available to a claim.
--- a/src/core/model/types.hpp
+++ b/src/core/model/types.hpp
@@ -77,7 +77,8 @@
     double estimate_s = 0;     ///< the user's estimate of a task's run time
     double checkpoint_s = 0;   ///< interval between checkpoints; 0: the tasks make none
     double save_s = 0;         ///< time that a task needs to save a checkpoint when it is stopped
-    std::optional<double> deadline_s;     ///< the user's deadline; null: none
+    /// The user's deadline, in seconds from the submission; null: none.
+    std::optional<double> deadline_s;
     std::vector<std::string> depends_on;  ///< jobs that must be done before any of its tasks starts
 };
 
@@ -130,17 +131,18 @@
     bool saved = false;  ///< exited with a checkpoint that the next attempt continues from
 };
 
-/// A heartbeat of a worker: its identity, and every task attempt that it has not been told to
-/// forget.
+/// A heartbeat of a worker: its identity, and every task attempt for which it has not received the
+/// command `Command::Kind::forget`.
 struct Heartbeat {
     std::string machine;  ///< name of the machine
     std::string address;  ///< for direct commands
     std::string type;     ///< name of the machine type
     std::string zone;
-    bool spot = false;              ///< a spot instance
-    std::uint64_t agent_epoch = 0;  ///< incarnation of the agent; grows with each restart
-    std::uint64_t seq = 0;          ///< sequence number within the agent epoch
-    Token token = 0;                ///< highest fencing token that the worker has seen
+    bool spot = false;  ///< a spot instance
+    /// Incarnation of the agent: starts at 1 and grows each time the worker's lease expires.
+    std::uint64_t agent_epoch = 0;
+    std::uint64_t seq = 0;  ///< sequence number within the agent epoch
+    Token token = 0;        ///< highest fencing token that the worker has seen
     /// Seconds until the spot instance is interrupted, once announced; null: no notice.
     std::optional<double> interruption_notice_s;
     std::vector<TaskStatus> tasks;
@@ -165,8 +167,8 @@
     Resources size;             ///< resources of an empty machine
     double cache_gb = 0;        ///< capacity of the image cache
     double fetch_gb_per_s = 0;  ///< rate at which a machine fetches images
-    double price = 0;           ///< on demand
-    double spot_price = 0;      ///< as a spot instance
+    double price = 0;           ///< on demand, per hour
+    double spot_price = 0;      ///< as a spot instance, per hour
     double boot_s = 0;          ///< usual time from launch to readiness
     std::vector<std::string> zones;
 };
--- a/src/core/scheduling/pending_queue.hpp
+++ b/src/core/scheduling/pending_queue.hpp
@@ -141,7 +141,8 @@
     std::map<QueueKey, Queue> queues_;
     Deficits min_share_deficits_;
     double next_min_share_check_at_s_ = 0;  // steady clock
-    std::uint64_t replica_loads_ = 0;  // load_count() of the replica that pending_jobs_ refers to
+    // `JobStore::load_count()` of the replica that pending_jobs_ refers to.
+    std::uint64_t replica_loads_ = 0;
     std::unordered_map<std::string, int> equivalence_classes_;  // by the text of the demands
 };
 
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -49,9 +49,9 @@
         // launched.
         return job.spec.kind != JobKind::gang || waited_s > constants::gang_preemption_wait_s;
     }
-    // The minimum share timeout of the paper: a team below its guarantee preempts work that another
-    // team runs beyond its own.
-    return victim.spec.team != job.spec.team && waited_s > ctx_.tunables.min_share_timeout_s &&
+    // The paper's minimum share timeout, applied to guarantees: a team below its guarantee preempts
+    // work that another team runs beyond its own.
+    return victim.spec.team != job.spec.team && waited_s > ctx_.tunables.guarantee_timeout_s &&
            victim.spec.priority != Priority::production &&
            within_guarantee(job.spec.team, job.spec.task_resources) &&
            !within_guarantee(victim.spec.team, {});
