--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -19,12 +19,12 @@
 
 constexpr auto elements = std::to_array<Element>({
     {"locality-wait-s", &core::Tunables::locality_wait_s, 0, 600},
-    {"gang-hold-s", &core::Tunables::gang_hold_s, 0, 3600},
-    {"share-timeout-s", &core::Tunables::share_timeout_s, 0, 3600},
-    {"headroom-machines", &core::Tunables::headroom_machines, 0, 1000},
-    {"idle-return-s", &core::Tunables::idle_return_s, 0, 86400},
-    {"final-states", &core::Tunables::final_states, 0, 100000},
-    {"silence-s", &core::Tunables::silence_s, 4, 600},
+    {"gang-hold-s", &core::Tunables::gang_reservation_s, 0, 3600},
+    {"share-timeout-s", &core::Tunables::min_share_timeout_s, 0, 3600},
+    {"headroom-machines", &core::Tunables::headroom_machines_max, 0, 1000},
+    {"idle-return-s", &core::Tunables::idle_release_s, 0, 86400},
+    {"final-states", &core::Tunables::final_states_max, 0, 100000},
+    {"silence-s", &core::Tunables::worker_timeout_s, 4, 600},
 });
 
 std::string at(const std::string& text, std::ptrdiff_t offset, const std::string& name) {
@@ -76,8 +76,8 @@
 }
 
 void check(const core::Settings& settings, const core::Tunables& tunables) {
-    double longest = settings.report_s * core::constants::report_spread;
-    if (tunables.silence_s > 0 && tunables.silence_s <= longest) {
+    double longest = settings.report_s * core::constants::heartbeat_interval_factor;
+    if (tunables.worker_timeout_s > 0 && tunables.worker_timeout_s <= longest) {
         throw Error("<silence-s> must be above " + std::to_string(longest) +
                     ": workers that report every " + std::to_string(settings.report_s) +
                     " s may be quiet that long");
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -38,7 +38,7 @@
             return fallback;
         }
         auto v = table_[key].value<double>();
-        if (!v || !std::isfinite(*v) || *v < least || *v > core::constants::setting_most) {
+        if (!v || !std::isfinite(*v) || *v < least || *v > core::constants::setting_value_max) {
             missing(key, "a number of at least " + std::to_string(least));
         }
         return *v;
@@ -136,7 +136,7 @@
 
 // The limits of the key-value store.
 void read_store_limits(const Reader& store, core::Settings& settings) {
-    const double least_ops = core::constants::txn_ops_least;
+    const double least_ops = core::constants::txn_ops_min;
     settings.state_rps = store.number("rps", 1);
     settings.state_write_rps = store.number("write_rps", 1);
     settings.state_value_kb = store.number("value_kb", 1);
--- a/src/core/agents/agent_manager.cpp
+++ b/src/core/agents/agent_manager.cpp
@@ -82,7 +82,7 @@
     adoption_.raise_queued_tokens();
     release_marks_.write();
     if (ctx_.now.steady >= next_sweep_) {
-        next_sweep_ = ctx_.now.steady + constants::sweep_every_s;
+        next_sweep_ = ctx_.now.steady + constants::machine_check_interval_s;
         prune_expired();
         failure_detector_.sweep();
     }
@@ -94,7 +94,7 @@
     if (ctx_.now.steady < next_prune_) {
         return;
     }
-    next_prune_ = ctx_.now.steady + constants::forget_every_s;
+    next_prune_ = ctx_.now.steady + constants::placement_prune_interval_s;
     ctx_.jobs.forget_sites();
     registry_.forget_ended_placements();
     heartbeat_handler_.forget_old_redirects();
--- a/src/core/agents/agent_registry.cpp
+++ b/src/core/agents/agent_registry.cpp
@@ -80,9 +80,10 @@
 }
 
 double AgentRegistry::heartbeat_timeout_s() const {
-    return ctx_.tunables.silence_s > 0
-               ? ctx_.tunables.silence_s
-               : ctx_.settings.report_s * constants::report_spread + constants::silence_margin_s;
+    return ctx_.tunables.worker_timeout_s > 0
+               ? ctx_.tunables.worker_timeout_s
+               : ctx_.settings.report_s * constants::heartbeat_interval_factor +
+                     constants::heartbeat_timeout_margin_s;
 }
 
 int AgentRegistry::image_number(const std::string& image) const {
--- a/src/core/agents/failure_detector.cpp
+++ b/src/core/agents/failure_detector.cpp
@@ -73,7 +73,7 @@
 std::set<Machine*> FailureDetector::machines_with_overdue_cancels() {
     std::set<Machine*> machines;
     double limit_s = ctx_.settings.cancel_s * constants::cancel_fence_share;
-    double last_limit_s = ctx_.settings.cancel_s * constants::cancel_fence_last_share;
+    double last_limit_s = ctx_.settings.cancel_s * constants::cancel_fence_after_takeover_share;
     for (const auto& uid : ctx_.jobs.cancelled()) {
         const Job& job = ctx_.jobs.jobs().at(uid);
         double since_s = ctx_.now.wall - job.cancelled_wall;
@@ -98,7 +98,8 @@
 }
 
 bool FailureDetector::SilentMachines::Count::is_suspect() const {
-    return silent > constants::silent_few && silent > owned * constants::silent_share;
+    return silent > constants::partition_silent_machines_tolerated_max &&
+           silent > owned * constants::partition_silent_share;
 }
 
 // When most machines fall silent at once, this process's own network is the likelier cause; when
@@ -118,7 +119,7 @@
             result.adopted.add(is_silent);
             bool lately_relayed =
                 machine->last_heartbeat_relayed &&
-                ctx_.now.steady - machine->last_heartbeat_at < constants::relay_detour_s;
+                ctx_.now.steady - machine->last_heartbeat_at < constants::relay_failover_s;
             relayed += lately_relayed ? 1 : 0;
         }
     }
@@ -142,10 +143,13 @@
 // there should be between any two.
 bool FailureDetector::partitioned_from_workers(int owned, int relayed) const {
     double now = ctx_.now.steady;
-    double interval_s = ctx_.settings.report_s * constants::report_spread / std::max(1, owned);
-    double gap_s = std::max(constants::report_gap_s, interval_s * constants::report_gap_factor);
-    return owned > constants::silent_few &&
-           (relayed > owned * constants::relayed_share || now - last_direct_heartbeat_at_ > gap_s);
+    double interval_s =
+        ctx_.settings.report_s * constants::heartbeat_interval_factor / std::max(1, owned);
+    double gap_s = std::max(constants::partition_heartbeat_gap_s,
+                            interval_s * constants::partition_heartbeat_gap_factor);
+    return owned > constants::partition_silent_machines_tolerated_max &&
+           (relayed > owned * constants::partition_relayed_share ||
+            now - last_direct_heartbeat_at_ > gap_s);
 }
 
 // Whether nothing is left of a machine. Keeps what is known of it in step with its mark.
@@ -164,8 +168,8 @@
         machine.address.clear();
     }
     return !placed && !mark && !machine.awaiting_reply &&
-           silent_for_s(machine) > constants::gone_mark_s &&
-           ctx_.now.steady - machine.listed_at > constants::gone_mark_s;
+           silent_for_s(machine) > constants::gone_cordon_ttl_s &&
+           ctx_.now.steady - machine.listed_at > constants::gone_cordon_ttl_s;
 }
 
 // Seconds without a heartbeat after which a machine is fenced.
@@ -175,8 +179,9 @@
         // Perhaps only the way to it is cut: a worker needs this long to come back by way of
         // another controller, which relays its heartbeats. Guards against the release of hundreds
         // of healthy machines by a controller that is cut off from them.
-        limit_s = std::max(
-            limit_s, constants::relay_detour_s + ctx_.settings.report_s * constants::report_spread);
+        limit_s =
+            std::max(limit_s, constants::relay_failover_s +
+                                  ctx_.settings.report_s * constants::heartbeat_interval_factor);
     }
     if (silent.adopted.is_suspect()) {
         limit_s = ctx_.settings.lease_s + registry_.heartbeat_timeout_s();
@@ -193,19 +198,20 @@
     bool placed = !registry_.site(machine).tasks.empty();
     if (machine.listed_state == ListedState::failed) {
         release_marks_.mark(machine, "failed", true);
-    } else if (placed && machine.address.empty() && silent_s > constants::unreported_s) {
+    } else if (placed && machine.address.empty() &&
+               silent_s > constants::first_heartbeat_timeout_s) {
         // Placed by a claim on a machine that nobody lists any more: it can't be probed.
         release_marks_.mark(machine, "unknown", true);
     } else if (machine.heartbeat_received || placed) {
         double limit_s = fence_after_s(machine, silent);
         if (silent_s > limit_s && machine.probe_failures > 0) {
             release_marks_.mark(machine, "silent", true);
-        } else if (silent_s > limit_s - constants::order_timeout_s) {
+        } else if (silent_s > limit_s - constants::direct_command_timeout_s) {
             probe(machine);
         }
     } else if (machine.running_since >= 0 && !registry_.zone_partitioned(machine.zone) &&
                ctx_.now.steady - std::max(machine.running_since, machine.owned_since) >
-                   constants::unreported_s) {
+                   constants::first_heartbeat_timeout_s) {
         release_marks_.mark(machine, "never reported", true);
     }
     if (machine.interruption_deadline && !placed && machine.heartbeat_received) {
--- a/src/core/agents/heartbeat_handler.cpp
+++ b/src/core/agents/heartbeat_handler.cpp
@@ -58,7 +58,7 @@
         replies_.send(machine);  // raises its token
         return;
     }
-    machine.reply_deadline = ctx_.now.steady + constants::report_hold_s;
+    machine.reply_deadline = ctx_.now.steady + constants::heartbeat_reply_hold_s;
     reconciliation_.reconcile(machine, true);
     if (relayed) {
         // Its peer has few connections for relays and waits less long than a reply is held open
@@ -95,11 +95,12 @@
     Redirect& redirect = redirects_[report.machine];
     double now = ctx_.now.steady;
     // Relayed once, it stays here and comes again with its next heartbeat.
-    double window_s = constants::relay_window_s + ctx_.settings.report_s * constants::report_spread;
+    double window_s = constants::redirect_return_margin_s +
+                      ctx_.settings.report_s * constants::heartbeat_interval_factor;
     // Guards against workers that came back because their owner changed meanwhile, or could not be
     // reached for a moment, and were relayed for good: now and then they are redirected once more.
     bool came_back = redirect.owner_id == owner->id && now - redirect.last_at < window_s &&
-                     now - redirect.first_at < constants::relay_again_s;
+                     now - redirect.first_at < constants::redirect_retry_interval_s;
     redirect.last_at = now;
     if (came_back) {
         // The worker was redirected to its owner a moment ago: it can't reach it, and its lease
@@ -130,7 +131,7 @@
 
 void HeartbeatHandler::forget_old_redirects() {
     std::erase_if(redirects_, [&](const auto& entry) {
-        return ctx_.now.steady - entry.second.last_at > constants::gone_mark_s;
+        return ctx_.now.steady - entry.second.last_at > constants::gone_cordon_ttl_s;
     });
 }
 
--- a/src/core/agents/heartbeat_replies.cpp
+++ b/src/core/agents/heartbeat_replies.cpp
@@ -131,7 +131,8 @@
         // Nothing ends there by itself, so the worker has nothing to report: its reply is held
         // open for a while, and a job that comes meanwhile starts without waiting for a heartbeat.
         machine.reply_deadline =
-            std::max(machine.reply_deadline, machine.last_heartbeat_at + constants::idle_hold_s);
+            std::max(machine.reply_deadline,
+                     machine.last_heartbeat_at + constants::idle_heartbeat_reply_hold_s);
         machine.reply_held_open = true;
         return;
     }
--- a/src/core/agents/job_arrivals.cpp
+++ b/src/core/agents/job_arrivals.cpp
@@ -5,7 +5,7 @@
 namespace cranemoor::core {
 
 void JobArrivals::note(const std::string& uid, const Job& job) {
-    if (job.waiting || job.came_wall() < ctx_.now.wall - constants::arrivals_s) {
+    if (job.waiting || job.came_wall() < ctx_.now.wall - constants::arrivals_history_s) {
         return;
     }
     if (registry_.needs_whole_machine(job.spec)) {
@@ -37,7 +37,7 @@
 
 void JobArrivals::forget_old() {
     for (auto* arrivals : {&whole_machine_jobs_, &spot_jobs_}) {
-        double oldest = ctx_.now.wall - constants::arrivals_s;
+        double oldest = ctx_.now.wall - constants::arrivals_history_s;
         std::erase_if(*arrivals,
                       [&](const auto& entry) { return entry.second.submitted_wall < oldest; });
     }
--- a/src/core/agents/job_arrivals.hpp
+++ b/src/core/agents/job_arrivals.hpp
@@ -16,7 +16,8 @@
     double squares = 0;   // sum of the squares of each job's machines
 };
 
-/// The submissions of the last `constants::arrivals_s` seconds, as the job records show them.
+/// The submissions of the last `constants::arrivals_history_s` seconds, as the job records show
+/// them.
 class JobArrivals {
   public:
     /// `ctx` and `registry` must outlive this object.
--- a/src/core/agents/job_failures.cpp
+++ b/src/core/agents/job_failures.cpp
@@ -20,7 +20,7 @@
         return;
     }
     double pause_s = constants::job_backoff_s;
-    for (int i = constants::job_fails_doubtful; i <= job.fails; ++i) {
+    for (int i = constants::job_backoff_failures_min; i <= job.fails; ++i) {
         pause_s = std::min(pause_s * 2, constants::job_backoff_max_s);
     }
     pause.until = ctx_.now.steady + pause_s;
--- a/src/core/agents/machine_adoption.cpp
+++ b/src/core/agents/machine_adoption.cpp
@@ -50,7 +50,7 @@
 // A few at a time: hundreds of connections at once would cost a slow controller seconds, while
 // its other workers and its lease wait. Those whose heartbeats come meanwhile are adopted that way.
 void MachineAdoption::raise_queued_tokens() {
-    for (int i = 0; i < constants::raise_per_tick && !token_raise_queue_.empty(); ++i) {
+    for (int i = 0; i < constants::token_raises_per_tick_max && !token_raise_queue_.empty(); ++i) {
         Machine* machine = registry_.find(token_raise_queue_.front());
         token_raise_queue_.pop_front();
         if (machine != nullptr && machine->owned_by_us && !machine->adopted) {
--- a/src/core/agents/pending_task_exits.cpp
+++ b/src/core/agents/pending_task_exits.cpp
@@ -100,7 +100,7 @@
 bool PendingTaskExits::is_write_due(const Job& job, const Block& block,
                                     const BlockExits& pending) const {
     bool urgent = job.cancelled || batched_claims_.is_batched(job);
-    double limit_s = urgent ? constants::outcome_soon_s : constants::outcome_hold_s;
+    double limit_s = urgent ? constants::urgent_exit_write_delay_s : constants::exit_write_delay_s;
     if (ctx_.now.steady - pending.since >= limit_s || job.spec.kind == JobKind::gang) {
         return true;
     }
@@ -111,7 +111,7 @@
     }
     const Team* team = quota_.team(job.spec.team);
     if (team != nullptr &&
-        !quota_.within_limit(team->name, team->limit * constants::slice_return_share)) {
+        !quota_.within_limit(team->name, team->limit * constants::quota_slice_return_share)) {
         return true;
     }
     // A machine that nothing else runs on is room for a gang, as soon as all members know. On one
@@ -174,12 +174,14 @@
 std::vector<PendingTaskExits::DueBlock> PendingTaskExits::collect_due_blocks() {
     std::vector<DueBlock> due;
     bool full_scan = ctx_.now.steady >= next_full_scan_s_;
-    next_full_scan_s_ = full_scan ? ctx_.now.steady + constants::ends_look_s : next_full_scan_s_;
+    next_full_scan_s_ =
+        full_scan ? ctx_.now.steady + constants::exit_scan_interval_s : next_full_scan_s_;
     for (auto it = pending_.begin(); it != pending_.end();) {
         const auto& [uid, block] = it->first;
         auto& pending = it->second;
         auto& tasks = pending.tasks;
-        bool waited = full_scan && ctx_.now.steady - pending.since >= constants::outcome_soon_s;
+        bool waited =
+            full_scan && ctx_.now.steady - pending.since >= constants::urgent_exit_write_delay_s;
         if (!pending.needs_review && !waited) {
             ++it;
             continue;
@@ -226,7 +228,7 @@
     std::vector<BlockRef> written;
     bool full = false;
     for (const BlockRef& ref : due) {
-        full = full || blocks_in_flight_ + written.size() >= constants::ends_open;
+        full = full || blocks_in_flight_ + written.size() >= constants::exit_blocks_in_flight_max;
         if (full || !add_block_exit_writes(ref, txn, taken)) {
             pending_[ref].needs_review = true;
         } else {
@@ -310,7 +312,7 @@
     }
     ctx_.blocks_in_flight.insert(taken.begin(), taken.end());
     batched_write_in_flight_ = true;
-    next_batched_write_s_ = ctx_.now.steady + constants::sheet_ends_every_s;
+    next_batched_write_s_ = ctx_.now.steady + constants::batched_exit_write_interval_s;
     batched_claims_.write(std::move(entries), {}, [this, taken, written](const StoreReply& reply) {
         batched_write_in_flight_ = false;
         on_write_settled(reply, taken, written);
--- a/src/core/agents/release_marks.cpp
+++ b/src/core/agents/release_marks.cpp
@@ -27,8 +27,8 @@
         while (next != names.end()) {
             marks.machines.clear();
             // Each name stands there twice once its machine is gone.
-            std::size_t bytes = constants::marks_frame_bytes + reason.why.size();
-            while (next != names.end() && marks.machines.size() < constants::release_max &&
+            std::size_t bytes = constants::cordon_batch_overhead_bytes + reason.why.size();
+            while (next != names.end() && marks.machines.size() < constants::release_machines_max &&
                    (marks.machines.empty() || bytes + mark_bytes(*next) <= ctx_.value_max())) {
                 bytes += mark_bytes(*next);
                 marks.machines.insert(*next);
--- a/src/core/agents/task_stops.cpp
+++ b/src/core/agents/task_stops.cpp
@@ -56,7 +56,7 @@
 void TaskStops::resend(Machine& machine) {
     double now = ctx_.now.steady;
     for (auto& [attempt, stop] : machine.pending_stops) {
-        if (machine.adopted && now - stop.last_sent_at >= constants::stop_repeat_s) {
+        if (machine.adopted && now - stop.last_sent_at >= constants::stop_retry_interval_s) {
             if (stop.grace_s > 0 &&
                 now - stop.first_requested_at > stop.grace_s + ctx_.settings.gang_peer_s) {
                 stop.grace_s = 0;  // it should have saved by now
@@ -83,7 +83,7 @@
         }
         double remaining_s = spec.estimate_s - (ctx_.now.steady - registry_.placed_at(id));
         bool ends_first = remaining_s > 0 && remaining_s < left_s;
-        if (left_s > spec.save_s + constants::spot_save_margin_s || ends_first) {
+        if (left_s > spec.save_s + constants::spot_checkpoint_margin_s || ends_first) {
             continue;
         }
         if (spec.kind == JobKind::array || spec.tasks == 1) {
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -30,9 +30,9 @@
     // Guards against a second fleet: a process that has just started knows no machines, and would
     // launch some for every job as if there were none.
     if (inventory_.listing_complete() && ctx_.now.steady >= next_plan_at_) {
-        next_plan_at_ =
-            ctx_.now.steady + constants::provision_every_s *
-                                  pending_queue_.round_interval_factor(constants::plan_rarely);
+        next_plan_at_ = ctx_.now.steady + constants::scale_out_interval_s *
+                                              pending_queue_.round_interval_factor(
+                                                  constants::scale_out_slowdown_factor_max);
         scale_out();
         scale_in_.mark_unneeded();
     }
--- a/src/core/autoscaling/cloud_inventory.cpp
+++ b/src/core/autoscaling/cloud_inventory.cpp
@@ -23,7 +23,7 @@
         types_in_flight_ = false;
         if (reply.status == CloudReply::Status::ok) {
             agent_manager_.registry().set_machine_types(reply.types);
-            next_types_at_ = ctx_.now.steady + constants::types_every_s;
+            next_types_at_ = ctx_.now.steady + constants::machine_types_interval_s;
         } else {
             next_types_at_ = ctx_.now.steady + types_retry_s;
         }
@@ -35,11 +35,13 @@
 double CloudInventory::listing_interval_s() const {
     bool leader = membership_.is_leader();
     double pages = 1 + std::floor(static_cast<double>(agent_manager_.registry().machines().size()) /
-                                  constants::machines_page);
+                                  constants::machine_listing_page_machines_max);
     double requests_per_s =
-        ctx_.settings.cloud_rps * (leader ? constants::list_share : constants::list_share_others);
-    double interval_s = leader ? constants::list_every_s : constants::list_every_others_s;
-    return std::max({interval_s, ctx_.settings.list_lag_s * constants::list_lag_factor,
+        ctx_.settings.cloud_rps * (leader ? constants::leader_listing_request_share
+                                          : constants::non_leader_listing_request_share);
+    double interval_s =
+        leader ? constants::leader_listing_interval_s : constants::non_leader_listing_interval_s;
+    return std::max({interval_s, ctx_.settings.list_lag_s * constants::listing_interval_lag_factor,
                      pages / requests_per_s});
 }
 
--- a/src/core/autoscaling/cloud_inventory.hpp
+++ b/src/core/autoscaling/cloud_inventory.hpp
@@ -11,7 +11,7 @@
 namespace cranemoor::core {
 
 /// Polls the cloud provider for machine types and for the machine listing, which comes in pages of
-/// `constants::machines_page` machines, and passes both to the AgentManager.
+/// `constants::machine_listing_page_machines_max` machines, and passes both to the AgentManager.
 class CloudInventory {
   public:
     /// `ctx`, `membership` and `agent_manager` must outlive the CloudInventory.
--- a/src/core/autoscaling/headroom.hpp
+++ b/src/core/autoscaling/headroom.hpp
@@ -7,8 +7,8 @@
 namespace cranemoor::core {
 
 /// Empty on-demand machines to keep: as many as jobs that take whole machines may ask for during
-/// one boot, forecast from the arrivals of the last `constants::arrivals_s` seconds, and at most
-/// the operators' `headroom_machines`.
+/// one boot, forecast from the arrivals of the last `constants::arrivals_history_s` seconds, and at
+/// most the operators' `headroom_machines_max`.
 int headroom_machines(const Context& ctx, const AgentManager& agent_manager);
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/machine_launcher.cpp
+++ b/src/core/autoscaling/machine_launcher.cpp
@@ -29,7 +29,8 @@
 
 // s that the listing may need to show what a request launched
 double MachineLauncher::listing_delay_s() const {
-    return ctx_.settings.list_lag_s * constants::list_lag_most + constants::list_every_s;
+    return ctx_.settings.list_lag_s * constants::listing_delay_lag_factor +
+           constants::leader_listing_interval_s;
 }
 
 void MachineLauncher::expire_notices() {
@@ -100,7 +101,7 @@
 void MachineLauncher::request(const std::map<InstanceKind, int>& launches) {
     std::vector<LaunchNotice> notices;
     for (const auto& [kind, count] : launches) {
-        for (int left = std::min(count, constants::launch_machines_per_plan); left > 0;
+        for (int left = std::min(count, constants::launch_machines_per_plan_max); left > 0;
              left -= constants::launch_machines_max) {
             PendingLaunch launch;
             launch.request =
@@ -185,7 +186,7 @@
 }
 
 void MachineLauncher::set_out_of_capacity(const InstanceKind& kind) {
-    no_capacity_until_[kind] = ctx_.now.steady + constants::no_capacity_s;
+    no_capacity_until_[kind] = ctx_.now.steady + constants::no_capacity_backoff_s;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/autoscaling/machine_release.cpp
+++ b/src/core/autoscaling/machine_release.cpp
@@ -31,7 +31,7 @@
         for (const auto& name : marks.machines) {
             const Cordon* mark = ctx_.jobs.mark(name);
             if (!mark->gone && (mark->fence || ctx_.jobs.on_machine(name).empty()) &&
-                machines.size() < constants::release_max) {
+                machines.size() < constants::release_machines_max) {
                 machines.push_back(name);
             }
         }
@@ -66,10 +66,11 @@
         membership_.peers_have_store_contact() || ctx_.now.steady < next_unrecorded_at_) {
         return;
     }
-    next_unrecorded_at_ = ctx_.now.steady + constants::release_unrecorded_every_s;
+    next_unrecorded_at_ = ctx_.now.steady + constants::unrecorded_release_interval_s;
     std::vector<std::string> machines;
     for (const auto& name : agent_manager_.failure_detector().overdue_and_silent()) {
-        if (!released_unrecorded_.contains(name) && machines.size() < constants::release_max) {
+        if (!released_unrecorded_.contains(name) &&
+            machines.size() < constants::release_machines_max) {
             machines.push_back(name);
         }
     }
@@ -94,7 +95,7 @@
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, old] : ctx_.jobs.marks()) {
         CordonBatch marks = old;
-        std::size_t bytes = constants::marks_frame_bytes + old.why.size();
+        std::size_t bytes = constants::cordon_batch_overhead_bytes + old.why.size();
         for (const auto& name : marks.machines) {
             bytes += mark_bytes(name);
             if (machines.contains(name)) {
@@ -118,7 +119,7 @@
     // Unless it is written, the machines are released again, which does no harm.
     ctx_.txn(txn, [this](const StoreReply& reply) {
         if (reply.status != StoreReply::Status::ok) {
-            next_release_at_ = ctx_.now.steady + constants::retry_state_s;
+            next_release_at_ = ctx_.now.steady + constants::store_retry_delay_s;
         }
         ctx_.when_settled(reply, [this] { release_in_flight_ = false; });
     });
@@ -140,7 +141,7 @@
             txn.writes.push_back({key, encode(separate)});
         }
         separate.machines.clear();
-        bytes = constants::marks_frame_bytes + old.why.size();
+        bytes = constants::cordon_batch_overhead_bytes + old.why.size();
     };
     write_and_reset();
     for (const auto& name : machines) {
@@ -161,7 +162,7 @@
     if (deletion_in_flight_ || ctx_.now.steady < next_deletion_at_) {
         return;
     }
-    next_deletion_at_ = ctx_.now.steady + constants::retire_every_s;
+    next_deletion_at_ = ctx_.now.steady + constants::record_cleanup_interval_s;
     std::erase_if(gone_since_,
                   [&](const auto& entry) { return ctx_.jobs.marks().count(entry.first) == 0; });
     Txn txn;
@@ -208,13 +209,13 @@
 // Whether the machines have been gone long enough, none is still listed, and no task is recorded
 // as placed there.
 bool MachineRelease::may_delete(const CordonBatch& marks, double gone_since) const {
-    if (ctx_.now.steady - gone_since <= constants::gone_mark_s) {
+    if (ctx_.now.steady - gone_since <= constants::gone_cordon_ttl_s) {
         return false;
     }
     return std::all_of(marks.machines.begin(), marks.machines.end(), [&](const auto& name) {
         const Machine* machine = agent_manager_.registry().find(name);
-        bool listed =
-            machine != nullptr && ctx_.now.steady - machine->listed_at < constants::gone_mark_s / 2;
+        bool listed = machine != nullptr &&
+                      ctx_.now.steady - machine->listed_at < constants::gone_cordon_ttl_s / 2;
         return !listed && ctx_.jobs.on_machine(name).empty();
     });
 }
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -23,7 +23,7 @@
             continue;
         }
         bool starting = machine->listed_state == ListedState::starting;
-        double boot_limit_s = type->boot_s * constants::boot_dead_factor;
+        double boot_limit_s = type->boot_s * constants::boot_failed_factor;
         if (starting && ctx_.now.steady - machine->launched_at > boot_limit_s) {
             agent_manager_.release_marks().mark(*machine, "never came up", true);
         }
@@ -46,7 +46,7 @@
     if (ctx_.now.steady < next_log_at_) {
         return;
     }
-    next_log_at_ = ctx_.now.steady + constants::fleet_log_every_s;
+    next_log_at_ = ctx_.now.steady + constants::fleet_log_interval_s;
     int up = 0;
     double free_gpus = 0;
     for (const auto& [name, machine] : agent_manager_.registry().machines()) {
@@ -76,7 +76,7 @@
             continue;
         }
         double idle_since = std::max(machine->empty_since, machine->launched_at);
-        if (ctx_.now.steady - idle_since > ctx_.tunables.idle_return_s) {
+        if (ctx_.now.steady - idle_since > ctx_.tunables.idle_release_s) {
             agent_manager_.release_marks().mark(*machine, "idle", false);
         }
     }
--- a/src/core/autoscaling/scale_out_plan.cpp
+++ b/src/core/autoscaling/scale_out_plan.cpp
@@ -130,7 +130,7 @@
         return false;
     }
     InstanceKind kind{type, *zone, spot};
-    if (++launches_[kind] > constants::launch_machines_per_plan) {
+    if (++launches_[kind] > constants::launch_machines_per_plan_max) {
         return false;
     }
     machines_by_zone_[*zone]++;
@@ -200,8 +200,9 @@
         bool counts = bin.kind.spot && type != nullptr && type->size.cpus > 0;
         free_machines += counts ? bin.room.cpus / type->size.cpus : 0;
     }
-    if (launch_type != nullptr && free_machines < constants::cheap_headroom &&
-        agent_manager_.job_arrivals().spot_arrivals(ctx_.now.wall - constants::arrivals_s) > 0) {
+    if (launch_type != nullptr && free_machines < constants::spot_headroom_machines &&
+        agent_manager_.job_arrivals().spot_arrivals(ctx_.now.wall - constants::arrivals_history_s) >
+            0) {
         if (auto zone = pick_zone(launch_type->name, true, std::nullopt)) {
             launches_[{launch_type->name, *zone, true}]++;
         }
--- a/src/core/autoscaling/scale_out_plan.hpp
+++ b/src/core/autoscaling/scale_out_plan.hpp
@@ -32,8 +32,8 @@
     void add_headroom(int machines);
     /// Launches one spot instance if little room is left on them while jobs for them keep coming.
     void add_spot_headroom();
-    /// Machines to launch. A count may exceed `constants::launch_machines_per_plan`, beyond which
-    /// nothing is planned: what a larger job needs is seen by the next plans.
+    /// Machines to launch. A count may exceed `constants::launch_machines_per_plan_max`, beyond
+    /// which nothing is planned: what a larger job needs is seen by the next plans.
     const std::map<InstanceKind, int>& launches() const { return launches_; }
 
   private:
--- a/src/core/context/context.cpp
+++ b/src/core/context/context.cpp
@@ -29,7 +29,7 @@
 }
 
 std::size_t usable_bytes(double limit_kb) {
-    return static_cast<std::size_t>(limit_kb * 1024 * constants::value_share);
+    return static_cast<std::size_t>(limit_kb * 1024 * constants::value_limit_share);
 }
 
 }  // namespace
--- a/src/core/jobs/batched_claims.cpp
+++ b/src/core/jobs/batched_claims.cpp
@@ -58,7 +58,7 @@
 }
 
 std::size_t BatchedClaims::record_overhead_bytes() const {
-    std::size_t sum = constants::sheet_frame_bytes;
+    std::size_t sum = constants::claim_batch_overhead_bytes;
     for (const auto& z : ctx_.settings.zones) {
         sum += z.size() + 3;
     }
@@ -66,12 +66,12 @@
 }
 
 std::size_t BatchedClaims::max_record_bytes() const {
-    return std::min(ctx_.value_max(), constants::sheet_bytes);
+    return std::min(ctx_.value_max(), constants::claim_batch_bytes_max);
 }
 
 std::size_t BatchedClaims::entry_bytes_per_write() const {
     auto kept = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
-                                         constants::sheet_kept_share);
+                                         constants::claim_batch_live_share_max);
     return max_record_bytes() - std::min(max_record_bytes() / 2, kept + record_overhead_bytes());
 }
 
@@ -79,7 +79,8 @@
     Revision revision = ctx_.jobs.revision_of(key);
     LiveBytes& kept = live_bytes_cache_[key];
     if (kept.revision != revision || ctx_.now.steady >= kept.until_s) {
-        kept = {revision, count_live_bytes(key), ctx_.now.steady + constants::sheet_count_s};
+        kept = {revision, count_live_bytes(key),
+                ctx_.now.steady + constants::claim_batch_live_bytes_ttl_s};
     }
     return kept.bytes;
 }
@@ -107,7 +108,7 @@
     auto prefix = prefix_of(ctx_.self.id);
     std::string best;
     auto least = static_cast<std::size_t>(static_cast<double>(max_record_bytes()) *
-                                          constants::sheet_kept_share);
+                                          constants::claim_batch_live_share_max);
     for (auto it = ctx_.jobs.claim_batches().lower_bound(prefix);
          it != ctx_.jobs.claim_batches().end() && it->first.compare(0, prefix.size(), prefix) == 0;
          ++it) {
@@ -170,7 +171,7 @@
         }
         if (!writes_in_flight_.contains(key) && ctx_.is_member &&
             ctx_.now.steady >= doubt.next_retry_s) {
-            doubt.next_retry_s = ctx_.now.steady + constants::retry_state_s;
+            doubt.next_retry_s = ctx_.now.steady + constants::store_retry_delay_s;
             ClaimBatch sheet;
             append_live_entries(key, sheet);
             Txn txn;
@@ -234,14 +235,14 @@
     if (!ctx_.is_member || retire_in_flight_ || ctx_.now.steady < next_retire_s_) {
         return;
     }
-    next_retire_s_ = ctx_.now.steady + constants::retire_every_s;
+    next_retire_s_ = ctx_.now.steady + constants::record_cleanup_interval_s;
     std::erase_if(live_bytes_cache_,
                   [&](const auto& k) { return ctx_.jobs.revision_of(k.first) == 0; });
     Txn txn;
     txn.urgency = Urgency::last;
     txn.conditions.push_back(ctx_.epoch_condition());
     for (const auto& [key, said] : ctx_.jobs.claim_batches()) {
-        if (txn.writes.size() < constants::sheets_retired && is_retirable(key)) {
+        if (txn.writes.size() < constants::claim_batch_deletions_per_txn_max && is_retirable(key)) {
             txn.conditions.push_back({key, ctx_.jobs.revision_of(key)});
             txn.writes.push_back({key, std::nullopt});
         }
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -141,7 +141,7 @@
         return;
     }
     if (ctx_.now.steady >= next_look_) {
-        next_look_ = ctx_.now.steady + constants::dependents_look_s;
+        next_look_ = ctx_.now.steady + constants::dependency_check_interval_s;
         if (waiting_.empty()) {
             moved_.clear();
         }
@@ -285,7 +285,7 @@
             continue;
         }
         double since = strays_.try_emplace(uid, ctx_.now.steady).first->second;
-        if (ctx_.now.steady - since < constants::stray_parts_s) {
+        if (ctx_.now.steady - since < constants::orphaned_dependency_parts_ttl_s) {
             continue;
         }
         // The last one goes first: an acceptance that comes late is conditional on it.
--- a/src/core/jobs/dependencies.hpp
+++ b/src/core/jobs/dependencies.hpp
@@ -22,8 +22,8 @@
     Dependencies(Context& ctx, const Membership& membership)
         : ctx_(ctx),
           membership_(membership),
-          look_ups_(ctx.settings.state_rps * constants::look_up_share,
-                    ctx.settings.state_rps * constants::look_up_share) {}
+          look_ups_(ctx.settings.state_rps * constants::final_state_read_share,
+                    ctx.settings.state_rps * constants::final_state_read_share) {}
 
     // touched: jobs that changed
     void records_changed(const std::set<std::string>& touched);
--- a/src/core/jobs/job_completion.cpp
+++ b/src/core/jobs/job_completion.cpp
@@ -144,7 +144,7 @@
 // there are many; then the oldest are moved to keys of their own, which are read when somebody
 // asks. That costs two writes a job, at a time that is not the rush in which it ended.
 void JobCompletion::archive_oldest_final_states() {
-    auto keep = static_cast<std::size_t>(ctx_.tunables.final_states);
+    auto keep = static_cast<std::size_t>(ctx_.tunables.final_states_max);
     if (archive_in_flight_ || ctx_.jobs.final_states().size() <= keep ||
         !membership_.has_store_contact() || ctx_.now.steady < next_archive_s_) {
         return;
@@ -156,7 +156,7 @@
     if (batch.jobs.empty()) {
         delete_outgrown_listings(batch.outgrown, txn);
         if (txn.writes.empty()) {
-            next_archive_s_ = ctx_.now.steady + constants::retire_every_s;
+            next_archive_s_ = ctx_.now.steady + constants::record_cleanup_interval_s;
             return;
         }
     }
--- a/src/core/jobs/job_completion.hpp
+++ b/src/core/jobs/job_completion.hpp
@@ -28,7 +28,7 @@
         : ctx_(ctx), membership_(membership) {}
 
     /// One step per controller tick: writes final states, then archives the oldest ones once more
-    /// than `tunables.final_states` are in the watched records.
+    /// than `tunables.final_states_max` are in the watched records.
     void tick();
 
   private:
--- a/src/core/jobs/oversized_block_split.cpp
+++ b/src/core/jobs/oversized_block_split.cpp
@@ -29,7 +29,7 @@
 void OversizedBlockSplit::split(const Job& job) {
     JobRecord record = job.record();
     record.page_size = tasks_per_block(ctx_);
-    std::size_t room = ctx_.value_max() - constants::block_frame_bytes;
+    std::size_t room = ctx_.value_max() - constants::block_overhead_bytes;
     for (const auto& [k, b] : job.blocks) {
         // Names may be longer than a block's size reckons with.
         std::size_t tasks = std::max<std::size_t>(1, b.placed.size() + b.done.size());
--- a/src/core/membership/leader_election.cpp
+++ b/src/core/membership/leader_election.cpp
@@ -143,7 +143,7 @@
     while (survivors.members[static_cast<std::size_t>(rank)].id != ctx_.self.id) {
         ++rank;
     }
-    return ctx_.now.steady >= dead_since_s_ + rank * constants::removal_stagger_s;
+    return ctx_.now.steady >= dead_since_s_ + rank * constants::member_removal_stagger_s;
 }
 
 void LeaderElection::write_epoch_of_survivors(const Epoch& survivors) {
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -92,8 +92,9 @@
     if (store_contact_.seconds_without_store() > member_lease_s && peers_have_store_contact()) {
         return false;
     }
-    double limit_s = ctx_.settings.cancel_s - ctx_.settings.lease_s - constants::cancel_margin_s;
-    return cancellations_unknown_for_s() < std::max(limit_s, constants::contact_lost_s);
+    double limit_s =
+        ctx_.settings.cancel_s - ctx_.settings.lease_s - constants::cancel_reply_margin_s;
+    return cancellations_unknown_for_s() < std::max(limit_s, constants::store_contact_timeout_s);
 }
 
 // Seconds for which cancellations that users were told of may be unknown here.
@@ -102,7 +103,7 @@
 }
 
 bool Membership::may_start_tasks() const {
-    return cancellations_unknown_for_s() < constants::start_known_s;
+    return cancellations_unknown_for_s() < constants::start_staleness_max_s;
 }
 
 bool Membership::healthy() const {
--- a/src/core/membership/peer_contact.cpp
+++ b/src/core/membership/peer_contact.cpp
@@ -11,7 +11,7 @@
     }
     leases_.emplace(names, ctx_.boot_id, ctx_.now.steady,
                     read_leases::Times{constants::read_lease_s, constants::read_lease_margin_s,
-                                       constants::peer_message_s});
+                                       constants::peer_heartbeat_ttl_s});
 }
 
 void PeerContact::tick() {
@@ -53,7 +53,7 @@
 
 void PeerContact::send_heartbeats() {
     double now = ctx_.now.steady;
-    next_heartbeat_s_ = now + constants::peer_beat_s;
+    next_heartbeat_s_ = now + constants::peer_heartbeat_interval_s;
     sent_store_contact_ = store_contact_.has_contact();
     sent_reliance_ = relies_on_read_leases();
     leases_->begin(now);
@@ -73,8 +73,8 @@
     std::vector<Cancellation> known;
     std::size_t bytes = 0;
     for (const auto& uid : ctx_.jobs.cancelled()) {
-        bytes += uid.size() + constants::handed_over_frame_bytes;
-        if (bytes > constants::handed_over_bytes) {
+        bytes += uid.size() + constants::peer_cancellation_overhead_bytes;
+        if (bytes > constants::peer_cancellations_bytes_max) {
             return std::nullopt;
         }
         known.push_back({uid, ctx_.jobs.jobs().at(uid).cancelled_wall});
@@ -104,7 +104,7 @@
 }
 
 bool PeerContact::is_recent(const PeerStatus& status, double now_s) {
-    return now_s - status.received_s < constants::peer_message_s;
+    return now_s - status.received_s < constants::peer_heartbeat_ttl_s;
 }
 
 bool PeerContact::any_has_store_contact() const {
--- a/src/core/membership/peer_contact.hpp
+++ b/src/core/membership/peer_contact.hpp
@@ -24,7 +24,8 @@
     /// Must be called before any other function; assumes that an earlier process of this name may
     /// have granted read leases.
     void start();
-    /// Sends heartbeats every `constants::peer_beat_s`, and at once when what they say has changed.
+    /// Sends heartbeats every `constants::peer_heartbeat_interval_s`, and at once when what they
+    /// say has changed.
     void tick();
     /// Any message of `peer` (by name), with whether the key-value store answers the sender.
     void on_message(const std::string& peer, bool has_store_contact);
--- a/src/core/membership/store_contact.cpp
+++ b/src/core/membership/store_contact.cpp
@@ -30,8 +30,8 @@
 // A compare-only transaction: its reply names the store's revision. Users' questions make such
 // checks many times a second; this one is for times without any.
 void StoreContact::refresh_safe_time() {
-    if (ctx_.now.steady - safe_time_s() < constants::safe_time_every_s || requesting_safe_time_ ||
-        !ctx_.jobs.loaded() || !may_retry()) {
+    if (ctx_.now.steady - safe_time_s() < constants::safe_time_refresh_interval_s ||
+        requesting_safe_time_ || !ctx_.jobs.loaded() || !may_retry()) {
         return;
     }
     requesting_safe_time_ = true;
--- a/src/core/membership/store_contact.hpp
+++ b/src/core/membership/store_contact.hpp
@@ -23,20 +23,22 @@
     /// After a reply was applied to the replica: the revision it has reached moves the safe time.
     void on_replica_advanced();
     /// Asks the store for its revision when no other reply has moved the safe time for
-    /// `constants::safe_time_every_s`.
+    /// `constants::safe_time_refresh_interval_s`.
     void refresh_safe_time();
 
     /// Seconds since the key-value store last answered this process.
     double seconds_without_store() const { return ctx_.now.steady - last_reply_s_; }
-    /// Whether the key-value store answered within the last `constants::contact_lost_s`.
-    bool has_contact() const { return seconds_without_store() < constants::contact_lost_s; }
+    /// Whether the key-value store answered within the last `constants::store_contact_timeout_s`.
+    bool has_contact() const {
+        return seconds_without_store() < constants::store_contact_timeout_s;
+    }
     /// Steady time in seconds as of which the replica is complete; see `read_leases::SafeTime`.
     double safe_time_s() const { return safe_time_.complete_as_of(); }
     /// Whether any reply has moved the safe time since the start.
     bool has_safe_time() const { return safe_time_s() > -1e9; }
 
-    /// Holds further attempts back for `constants::retry_state_s` after a failed call.
-    void delay_retries() { retry_at_s_ = ctx_.now.steady + constants::retry_state_s; }
+    /// Holds further attempts back for `constants::store_retry_delay_s` after a failed call.
+    void delay_retries() { retry_at_s_ = ctx_.now.steady + constants::store_retry_delay_s; }
     /// Whether that delay is over.
     bool may_retry() const { return ctx_.now.steady >= retry_at_s_; }
 
--- a/src/core/membership/store_lease.cpp
+++ b/src/core/membership/store_lease.cpp
@@ -13,7 +13,7 @@
         request_in_flight_ = false;
         if (reply.status == StoreReply::Status::ok) {
             id_ = reply.lease;
-            next_renewal_s_ = ctx_.now.steady + constants::renew_every_s;
+            next_renewal_s_ = ctx_.now.steady + constants::lease_renewal_interval_s;
             on_granted();
         }
     });
@@ -28,7 +28,7 @@
     if (id_ == 0 || renewal_in_flight_ || ctx_.now.steady < next_renewal_s_) {
         return;
     }
-    next_renewal_s_ = ctx_.now.steady + constants::renew_every_s;
+    next_renewal_s_ = ctx_.now.steady + constants::lease_renewal_interval_s;
     renew();
 }
 
--- a/src/core/membership/store_lease.hpp
+++ b/src/core/membership/store_lease.hpp
@@ -25,7 +25,7 @@
     void request();
     /// Gives up the held lease without revoking it and requests another one.
     void replace();
-    /// Renews the lease every `constants::renew_every_s`.
+    /// Renews the lease every `constants::lease_renewal_interval_s`.
     void keep_alive();
 
   private:
--- a/src/core/overload/overload_detector.cpp
+++ b/src/core/overload/overload_detector.cpp
@@ -27,14 +27,14 @@
     }
     const Open& o = it->second;
     if (o.waited_for) {
-        took_s_ += constants::pressure_smooth * (now - o.since - took_s_);
+        took_s_ += constants::write_wait_smoothing_factor * (now - o.since - took_s_);
     }
     written_[static_cast<std::size_t>(o.purpose)] += o.writes;
     lost_ += status == StoreReply::Status::conflict ? 1 : 0;
     refused_ += status == StoreReply::Status::refused ? 1 : 0;
     double passed = std::max(0.0, now - rate_at_);
-    rate_ = rate_ * std::exp(-passed / constants::pressure_rate_s) +
-            static_cast<double>(o.writes + o.spared) / constants::pressure_rate_s;
+    rate_ = rate_ * std::exp(-passed / constants::write_rate_window_s) +
+            static_cast<double>(o.writes + o.spared) / constants::write_rate_window_s;
     rate_at_ = now;
     open_.erase(it);
 }
@@ -51,7 +51,7 @@
 }
 
 PressureSample OverloadDetector::sample(double now) const {
-    double rate = rate_ * std::exp(-std::max(0.0, now - rate_at_) / constants::pressure_rate_s);
+    double rate = rate_ * std::exp(-std::max(0.0, now - rate_at_) / constants::write_rate_window_s);
     return {write_wait_s(now), rate};
 }
 
--- a/src/core/quota/quota.cpp
+++ b/src/core/quota/quota.cpp
@@ -94,7 +94,7 @@
     };
     // More than is needed now, while there is enough for everybody: the next claims then leave
     // the record alone.
-    if (!grow(wanted + t->limit * constants::slice_grain) && !grow(wanted)) {
+    if (!grow(wanted + t->limit * constants::quota_slice_growth_share) && !grow(wanted)) {
         return false;
     }
     for (auto& w : txn.writes) {
@@ -138,7 +138,7 @@
     if (!ctx_.is_member || ctx_.now.steady < next_return_) {
         return;
     }
-    next_return_ = ctx_.now.steady + constants::slice_return_every_s;
+    next_return_ = ctx_.now.steady + constants::quota_slice_return_interval_s;
     for (const auto& t : ctx_.settings.teams) {
         auto key = keys::quota(t.name);
         auto it = ctx_.jobs.slices().find(key);
@@ -152,7 +152,7 @@
         // What is unused is given back only where the team is near its limit and another member
         // might miss it: a slice in hand saves a write with the next claim. Guards against a job
         // that waits for ever below its team's limit, since the rest lies in others' slices.
-        Resources share = t.limit * constants::slice_return_share;
+        Resources share = t.limit * constants::quota_slice_return_share;
         Resources start = largest_start(t.name);
         Resources near = it->second.total() + Resources{std::max(share.cpus, start.cpus),
                                                         std::max(share.gpus, start.gpus), 0};
--- a/src/core/requests/cancellation_handler.cpp
+++ b/src/core/requests/cancellation_handler.cpp
@@ -9,8 +9,8 @@
         status_query_.answer_finished(request, uid, *final_state, AnswerDetail::state);
         return;
     }
-    fresh_reads_.when_fresh(request, uid, constants::submit_wait_s, [this, request, uid] {
-        write_cancellation(request, uid, constants::cancel_tries);
+    fresh_reads_.when_fresh(request, uid, constants::submission_timeout_s, [this, request, uid] {
+        write_cancellation(request, uid, constants::cancel_attempts_max);
     });
 }
 
--- a/src/core/requests/finished_jobs.cpp
+++ b/src/core/requests/finished_jobs.cpp
@@ -5,8 +5,8 @@
 FinishedJobs::FinishedJobs(Context& ctx, OpenRequests& open_requests)
     : ctx_(ctx),
       open_requests_(open_requests),
-      look_up_budget_(ctx.settings.state_rps * constants::look_up_share,
-                      ctx.settings.state_rps * constants::look_up_share) {}
+      look_up_budget_(ctx.settings.state_rps * constants::final_state_read_share,
+                      ctx.settings.state_rps * constants::final_state_read_share) {}
 
 const Finished* FinishedJobs::find(const std::string& uid) const {
     if (const Finished* final_state = ctx_.jobs.finished(uid)) {
@@ -51,7 +51,7 @@
     if (!cache_.try_emplace(uid, final_state).second) {
         return;
     }
-    if (cache_order_.size() < constants::finished_cache) {
+    if (cache_order_.size() < constants::final_states_cached_max) {
         cache_order_.push_back(uid);
         return;
     }
--- a/src/core/requests/fresh_reads.cpp
+++ b/src/core/requests/fresh_reads.cpp
@@ -16,12 +16,12 @@
 }
 
 void FreshReads::send_read_check() {
-    if (checks_in_flight_ >= constants::read_checks_open || waiting_.empty() ||
+    if (checks_in_flight_ >= constants::read_checks_in_flight_max || waiting_.empty() ||
         ctx_.now.steady < next_check_) {
         return;
     }
     ++checks_in_flight_;
-    next_check_ = ctx_.now.steady + constants::read_check_every_s;
+    next_check_ = ctx_.now.steady + constants::read_check_interval_s;
     auto batch = std::exchange(waiting_, {});
     Txn txn;
     txn.conditions = {ctx_.epoch_condition()};
--- a/src/core/requests/request_handler.cpp
+++ b/src/core/requests/request_handler.cpp
@@ -45,7 +45,7 @@
     if (ctx_.now.steady < next_prune_) {
         return;
     }
-    next_prune_ = ctx_.now.steady + constants::count_prune_s;
+    next_prune_ = ctx_.now.steady + constants::running_count_prune_interval_s;
     running_task_counter_.prune();
     submission_queue_.prune();
 }
--- a/src/core/requests/running_task_counter.cpp
+++ b/src/core/requests/running_task_counter.cpp
@@ -18,7 +18,7 @@
     if (ctx_.now.steady < count.valid_until && placed_as_counted) {
         return count.running;
     }
-    count = {0, ctx_.now.steady + constants::count_every_s};
+    count = {0, ctx_.now.steady + constants::running_count_ttl_s};
     job.each_placement([&](int task, const Placement& placement) {
         if (is_running(job, task, placement)) {
             ++count.running;
--- a/src/core/requests/status_query.cpp
+++ b/src/core/requests/status_query.cpp
@@ -7,7 +7,7 @@
         answer_finished(request, uid, *final_state, AnswerDetail::state_and_counts);
         return;
     }
-    fresh_reads_.when_fresh(request, uid, constants::user_wait_s, [this, request, uid] {
+    fresh_reads_.when_fresh(request, uid, constants::status_query_timeout_s, [this, request, uid] {
         answer_known(request, uid, AnswerDetail::state_and_counts, [this, request, uid] {
             open_requests_.reject(request, uid, {RejectionReason::no_such_job});
         });
--- a/src/core/requests/submission_handler.cpp
+++ b/src/core/requests/submission_handler.cpp
@@ -42,7 +42,7 @@
     }
     // Known, or to be rejected: a job accepted earlier is never told 422.
     fresh_reads_.when_fresh(
-        request, spec.uid, constants::submit_wait_s, [this, request, spec, rejection] {
+        request, spec.uid, constants::submission_timeout_s, [this, request, spec, rejection] {
             status_query_.answer_known(
                 request, spec.uid, AnswerDetail::state, [this, request, spec, rejection] {
                     if (rejection) {
@@ -50,7 +50,7 @@
                     } else if (!spec.follows.empty()) {
                         accept_dependent(request, spec);
                     } else {
-                        accept(request, spec, constants::accept_tries, false);
+                        accept(request, spec, constants::accept_attempts_max, false);
                     }
                 });
         });
@@ -64,7 +64,7 @@
         return;
     }
     fresh_reads_.when_fresh(
-        request, *uid, constants::submit_wait_s, [this, request, uid = *uid, rejection] {
+        request, *uid, constants::submission_timeout_s, [this, request, uid = *uid, rejection] {
             status_query_.answer_known(request, uid, AnswerDetail::state,
                                        [this, request, uid, rejection] {
                                            open_requests_.reject(request, uid, rejection);
@@ -91,8 +91,8 @@
         submission_queue_.reject_full(request, spec.uid);
         return;
     }
-    open_requests_.open(request, spec.uid, constants::submit_wait_s);
-    accept(request, spec, constants::accept_tries, false);
+    open_requests_.open(request, spec.uid, constants::submission_timeout_s);
+    accept(request, spec, constants::accept_attempts_max, false);
 }
 
 // A job that depends on others, after a fresh read: each of them must have been accepted. Most are
@@ -128,7 +128,7 @@
     bool cancelled =
         std::any_of(remaining.follows.begin(), remaining.follows.end(),
                     [&](const std::string& dependency) { return is_cancelled(dependency); });
-    accept(request, remaining, constants::accept_tries, cancelled);
+    accept(request, remaining, constants::accept_attempts_max, cancelled);
 }
 
 // Of a dependency that isn't done.
--- a/src/core/requests/submission_queue.cpp
+++ b/src/core/requests/submission_queue.cpp
@@ -6,7 +6,7 @@
 namespace cranemoor::core {
 
 bool SubmissionQueue::make_room(const admission::FlowName& flow) {
-    if (open_requests_.count() < constants::user_queue_max) {
+    if (open_requests_.count() < constants::user_requests_max) {
         return true;
     }
     auto longest = admission_controller_.flow_to_evict(flow);
@@ -19,7 +19,7 @@
             reject_full(request, evicted.spec.uid);
         }
     }
-    return open_requests_.count() < constants::user_queue_max;
+    return open_requests_.count() < constants::user_requests_max;
 }
 
 void SubmissionQueue::reject_full(RequestId request, const std::string& uid) {
@@ -31,12 +31,12 @@
 int SubmissionQueue::retry_after_s(const std::string& uid) const {
     std::size_t lately = 0;
     for (const auto& batch : accepted_) {
-        lately += ctx_.now.steady - batch.at < constants::accepted_window_s ? batch.jobs : 0;
+        lately += ctx_.now.steady - batch.at < constants::accept_rate_window_s ? batch.jobs : 0;
     }
-    double rate = std::max(1.0, static_cast<double>(lately) / constants::accepted_window_s);
+    double rate = std::max(1.0, static_cast<double>(lately) / constants::accept_rate_window_s);
     auto waiting = static_cast<double>(admission_controller_.waiting_count());
     int expected_s = static_cast<int>(waiting / rate);
-    int most = std::clamp(expected_s, constants::retry_after_s, constants::retry_after_most_s);
+    int most = std::clamp(expected_s, constants::retry_after_s, constants::retry_after_max_s);
     return 1 + static_cast<int>(stable_hash(uid) % static_cast<std::uint64_t>(most));
 }
 
@@ -94,7 +94,7 @@
 
 void SubmissionQueue::prune() {
     std::erase_if(accepted_, [&](const AcceptedBatch& batch) {
-        return ctx_.now.steady - batch.at >= constants::accepted_window_s;
+        return ctx_.now.steady - batch.at >= constants::accept_rate_window_s;
     });
 }
 
--- a/src/core/requests/submission_writer.cpp
+++ b/src/core/requests/submission_writer.cpp
@@ -22,9 +22,10 @@
 void SubmissionWriter::write_pending() {
     const auto& table = ctx_.jobs.table();
     bool write_overload = table && table->shared;
-    while (!submission_queue_.empty() && writes_in_flight_ < constants::accepts_open &&
+    while (!submission_queue_.empty() &&
+           writes_in_flight_ < constants::accept_writes_in_flight_max &&
            (!write_overload || ctx_.now.steady >= next_write_)) {
-        next_write_ = ctx_.now.steady + constants::accepts_every_s;
+        next_write_ = ctx_.now.steady + constants::accept_write_interval_s;
         BatchBuilder builder = collect_batch();
         if (builder.batch.empty()) {
             return;
@@ -48,7 +49,7 @@
     builder.txn.urgency = Urgency::first;
     builder.txn.purpose = Txn::Purpose::accept;
     builder.txn.conditions.push_back(ctx_.epoch_condition());
-    builder.room = ctx_.value_max() - std::min(ctx_.value_max(), constants::listing_frame_bytes);
+    builder.room = ctx_.value_max() - std::min(ctx_.value_max(), constants::listing_overhead_bytes);
     while (const PendingSubmission* submission = submission_queue_.front()) {
         if (!add_front(builder, *submission)) {
             break;
@@ -138,7 +139,7 @@
 // write. Without that record the parts mean nothing, and are removed after a while.
 void SubmissionWriter::write_dependency_parts(PendingSubmission submission) {
     std::size_t room =
-        ctx_.value_max() - std::min(ctx_.value_max() / 2, constants::listing_frame_bytes);
+        ctx_.value_max() - std::min(ctx_.value_max() / 2, constants::listing_overhead_bytes);
     DependencyParts parts(1);
     std::size_t bytes = 0;
     for (const auto& dependency : submission.spec.follows) {
--- a/src/core/scheduling/admission_table_sync.cpp
+++ b/src/core/scheduling/admission_table_sync.cpp
@@ -10,9 +10,9 @@
     : ctx_(ctx),
       membership_(membership),
       agents_(agents),
-      write_scarcity_({constants::writes_short_s, constants::writes_short_for_s,
-                       constants::writes_calm_s, constants::writes_calm_share,
-                       constants::writes_calm_for_s}) {}
+      write_scarcity_({constants::overload_onset_wait_s, constants::overload_onset_duration_s,
+                       constants::overload_clear_wait_s, constants::overload_clear_rate_share,
+                       constants::overload_clear_duration_s}) {}
 
 void AdmissionTableSync::on_pressure_sample(const std::string& peer, const PressureSample& sample) {
     samples_by_peer_[peer] = {sample, ctx_.now.steady};
@@ -23,9 +23,9 @@
     if (!ctx_.is_member || t < next_tick_s_) {
         return;
     }
-    next_tick_s_ = t + constants::accord_every_s;
+    next_tick_s_ = t + constants::overload_check_interval_s;
     if (t >= next_pressure_log_s_) {
-        next_pressure_log_s_ = t + constants::pressure_word_every_s;
+        next_pressure_log_s_ = t + constants::overload_log_interval_s;
         ctx_.info("pressure: {}", ctx_.overload.take_words(t));
     }
     if (membership_.is_leader() && membership_.has_store_contact() &&
@@ -40,7 +40,7 @@
     double wait = mine.write_wait_s;
     double writes = mine.writes;
     for (const auto& [name, h] : samples_by_peer_) {
-        if (t - h.at < constants::peer_message_s) {
+        if (t - h.at < constants::peer_heartbeat_ttl_s) {
             wait = std::max(wait, h.sample.write_wait_s);
             writes += h.sample.writes;
         }
@@ -97,7 +97,7 @@
     return std::any_of(wanted.begin(), wanted.end(), [&](const auto& p) {
         auto o = old.find(p.first);
         double before = o == old.end() ? 0 : o->second.weight / then;
-        return std::abs(p.second.weight / now - before) > constants::parts_step;
+        return std::abs(p.second.weight / now - before) > constants::admission_share_change_min;
     });
 }
 
@@ -112,7 +112,7 @@
     txn.conditions = {ctx_.epoch_condition(), {keys::table, ctx_.jobs.revision_of(keys::table)}};
     txn.writes = {{keys::table, encode(next)}};
     write_in_flight_ = true;
-    next_refresh_s_ = ctx_.now.steady + constants::table_every_s;
+    next_refresh_s_ = ctx_.now.steady + constants::admission_table_write_interval_s;
     ctx_.info("admission table {}: records {}", next.number,
               next.shared ? "shared, writes are short" : "by block again");
     ctx_.txn(std::move(txn), [this](const StoreReply& r) {
--- a/src/core/scheduling/admission_table_sync.hpp
+++ b/src/core/scheduling/admission_table_sync.hpp
@@ -23,8 +23,9 @@
 
     /// Keeps the latest pressure sample received from controller `peer` (by name).
     void on_pressure_sample(const std::string& peer, const PressureSample& sample);
-    /// Every `constants::accord_every_s` seconds: logs the pressure summary and, on the leader,
-    /// rewrites the admission table when scarcity or the owned-machine shares changed enough.
+    /// Every `constants::overload_check_interval_s` seconds: logs the pressure summary and, on the
+    /// leader, rewrites the admission table when scarcity or the owned-machine shares changed
+    /// enough.
     void tick();
 
   private:
--- a/src/core/scheduling/claim_writer.cpp
+++ b/src/core/scheduling/claim_writer.cpp
@@ -60,9 +60,9 @@
         }
     }
     take_claim(block_claims_, job, std::move(claim), machines, tasks);
-    if (block_keys.size() >= constants::claim_blocks ||
+    if (block_keys.size() >= constants::claim_blocks_per_txn_max ||
         txn.writes.size() + writes_of_next_claim > ctx_.ops_max() ||
-        txn.conditions.size() + constants::claim_conditions > ctx_.conditions_max()) {
+        txn.conditions.size() + constants::claim_conditions_max > ctx_.conditions_max()) {
         send_block_claims();
     }
 }
@@ -92,7 +92,7 @@
     batched_entries_.entries_bytes += bytes;
     batched_entries_.entries.push_back(std::move(entry));
     take_claim(batched_entries_, job, {}, machines, tasks);
-    if (txn.conditions.size() + conditions_of_batched_record + constants::claim_conditions >
+    if (txn.conditions.size() + conditions_of_batched_record + constants::claim_conditions_max >
             ctx_.conditions_max() ||
         txn.writes.size() + writes_of_next_claim > ctx_.ops_max()) {
         send_batched_claims();
--- a/src/core/scheduling/claim_writer.hpp
+++ b/src/core/scheduling/claim_writer.hpp
@@ -38,11 +38,15 @@
           batched_claims_(batched_claims) {}
 
     /// Whether claims wait for the write limit of the key-value store.
-    bool is_write_limited() const { return blocks_in_flight_ >= constants::claim_blocks; }
+    bool is_write_limited() const {
+        return blocks_in_flight_ >= constants::claim_blocks_per_txn_max;
+    }
     /// Whether no more claims may be made before some in flight are settled.
-    bool is_full() const { return blocks_in_flight_ >= constants::claim_blocks_open; }
+    bool is_full() const { return blocks_in_flight_ >= constants::claim_blocks_in_flight_max; }
     /// The same of claims in batched records.
-    bool is_batched_full() const { return batched_in_flight_ >= constants::sheets_open; }
+    bool is_batched_full() const {
+        return batched_in_flight_ >= constants::claim_batch_writes_in_flight_max;
+    }
     /// What claims in flight, or not sent yet, take of a machine.
     Resources claimed_on(const std::string& machine) const;
     /// Whether a claim in that block's own record had no answer and may still be carried out.
--- a/src/core/scheduling/delay_scheduling.cpp
+++ b/src/core/scheduling/delay_scheduling.cpp
@@ -40,8 +40,11 @@
         type != nullptr && type->fetch_gb_per_s > 0 ? spec.image_gb / type->fetch_gb_per_s : 0;
     // The wait is lost for sure, what it may save is the fetch, and that is a chance: it pays only
     // while it is short beside the fetch, except for a better machine.
-    double wait_s = std::min(ctx_.tunables.locality_wait_s, fetch_s * constants::wait_share);
-    return fetch_contended ? std::min(constants::fetch_pass_s, std::max(fetch_s, wait_s)) : wait_s;
+    double wait_s =
+        std::min(ctx_.tunables.locality_wait_s, fetch_s * constants::locality_wait_fetch_share);
+    return fetch_contended
+               ? std::min(constants::contended_fetch_wait_max_s, std::max(fetch_s, wait_s))
+               : wait_s;
 }
 
 }  // namespace cranemoor::core
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -25,9 +25,9 @@
         return false;
     }
     // Gangs below their minimum share need whole machines, one after the other would be too few.
-    bool may_be_another =
-        pending.below_min_share &&
-        (is_reserving(pending.uid) || reserving_since_.size() < constants::floor_holds);
+    bool may_be_another = pending.below_min_share &&
+                          (is_reserving(pending.uid) ||
+                           reserving_since_.size() < constants::min_share_gang_reservations_max);
     bool first_of_team = round.teams_reserving.insert(pending.team).second;
     return first_of_team || may_be_another;
 }
@@ -41,10 +41,10 @@
     double elapsed_s = ctx_.now.steady - since;
     // Of a flow below its minimum share work that runs out must be waited for: while it is short
     // of room, what others start there takes minutes.
-    double duration_s =
-        pending.below_min_share ? constants::floor_hold_s : ctx_.tunables.gang_hold_s;
+    double duration_s = pending.below_min_share ? constants::min_share_gang_reservation_s
+                                                : ctx_.tunables.gang_reservation_s;
     if (elapsed_s > duration_s) {
-        if (elapsed_s > duration_s + ctx_.tunables.gang_hold_s) {
+        if (elapsed_s > duration_s + ctx_.tunables.gang_reservation_s) {
             reserving_since_.erase(spec.uid);
         }
         return;
--- a/src/core/scheduling/machine_scoring.cpp
+++ b/src/core/scheduling/machine_scoring.cpp
@@ -36,7 +36,7 @@
     double free_share =
         type != nullptr && type->size.cpus > 0 ? offer.room.cpus / type->size.cpus : 0;
     // A start on a machine whose heartbeat was replied to waits for its next one.
-    double reply_penalty = machine.open_request ? 0 : constants::rank_step;
+    double reply_penalty = machine.open_request ? 0 : constants::sent_reply_penalty_share;
     return (machine.spot ? score_of_spot : score_of_ordinary_in_use) + free_share + reply_penalty;
 }
 
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -22,8 +22,8 @@
     }
     // Of those that came together, jobs with one image follow each other, so that they fill
     // the same machines: images fetched side by side share the rate, and all are late.
-    double a_came = std::floor(a->ready_wall / constants::together_s);
-    double b_came = std::floor(b->ready_wall / constants::together_s);
+    double a_came = std::floor(a->ready_wall / constants::arrival_window_s);
+    double b_came = std::floor(b->ready_wall / constants::arrival_window_s);
     return std::tie(a_came, a->image, a->ready_wall, a->uid) <
            std::tie(b_came, b->image, b->ready_wall, b->uid);
 }
@@ -129,7 +129,7 @@
 }
 
 double PendingQueue::round_interval_factor(double max_factor) const {
-    double load = static_cast<double>(pending_jobs_.size()) / constants::plan_jobs;
+    double load = static_cast<double>(pending_jobs_.size()) / constants::slowdown_pending_jobs_min;
     return std::clamp(load, 1.0, max_factor);
 }
 
@@ -221,7 +221,7 @@
 PendingQueue::Deficits PendingQueue::find_min_share_deficits() const {
     auto flows = waiting_flows();
     bool any_late = std::any_of(flows.begin(), flows.end(), [](const auto& flow) {
-        return flow.was_below_min_share || flow.longest_wait_s >= constants::floor_after_s;
+        return flow.was_below_min_share || flow.longest_wait_s >= constants::min_share_wait_s;
     });
     if (!any_late) {
         return {};
@@ -235,7 +235,8 @@
                       [this](const Machine* machine) { return agents_.in_use(*machine); });
     return admission::min_share_deficits(
         flows, static_cast<double>(in_use),
-        {constants::floor_share, constants::floor_idle_share, constants::floor_after_s});
+        {constants::min_share_fair_share_fraction, constants::min_share_best_effort_fraction,
+         constants::min_share_wait_s});
 }
 
 void PendingQueue::log_new_deficits(const Deficits& deficits) const {
@@ -253,7 +254,7 @@
     if (!is_current() || ctx_.now.steady < next_min_share_check_at_) {
         return;
     }
-    next_min_share_check_at_ = ctx_.now.steady + constants::floors_every_s;
+    next_min_share_check_at_ = ctx_.now.steady + constants::min_share_check_interval_s;
     Deficits deficits = find_min_share_deficits();
     log_new_deficits(deficits);
     bool may_have_changed = !deficits.empty() || !min_share_deficits_.empty();
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -15,9 +15,9 @@
 
 void Preemption::tick() {
     if (ctx_.is_member && membership_.has_store_contact() && ctx_.now.steady >= next_look_) {
-        next_look_ =
-            ctx_.now.steady + constants::preempt_every_s *
-                                  pending_queue_.round_interval_factor(constants::preempt_rarely);
+        next_look_ = ctx_.now.steady + constants::preemption_interval_s *
+                                           pending_queue_.round_interval_factor(
+                                               constants::preemption_slowdown_factor_max);
         look();
     }
 }
@@ -39,15 +39,15 @@
     }
     if (victim.spec.kind == JobKind::gang && victim.spec.tasks > 1 &&
         (!GangPreemption::would_save(victim) || victim.stopping() ||
-         waited < constants::gang_victim_s)) {
+         waited < constants::gang_victim_wait_s)) {
         return false;  // all of it would have to be stopped with the one task that is in the way
     }
     if (victim.spec.priority < job.spec.priority) {
         // Whole machines are costly to clear: a gang first waits for one to be free or rented.
-        return job.spec.kind != JobKind::gang || waited > constants::gang_preempt_s;
+        return job.spec.kind != JobKind::gang || waited > constants::gang_preemption_wait_s;
     }
     // The paper's minimum share timeout: work that another team runs beyond its own guarantee.
-    return victim.spec.team != job.spec.team && waited > ctx_.tunables.share_timeout_s &&
+    return victim.spec.team != job.spec.team && waited > ctx_.tunables.min_share_timeout_s &&
            victim.spec.priority != Priority::production &&
            below_guarantee(job.spec.team, job.spec.each) && !below_guarantee(victim.spec.team, {});
 }
@@ -101,7 +101,7 @@
     // The room is there only when the gang has saved.
     gang_preemption_.request_preemption(*victim, "makes room for " + job.spec.uid);
     double saved = victim->spec.save_s + ctx_.settings.gang_peer_s;
-    scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preempt_pause_s);
+    scheduler_.reservations().reserve(m.name, job.spec, saved + constants::preemption_cooldown_s);
 }
 
 void Preemption::look() {
@@ -111,16 +111,16 @@
             ++looked;
             make_room(waiting);
         }
-        return looked < constants::preempt_looks;
+        return looked < constants::preemption_jobs_per_round_max;
     });
 }
 
 bool Preemption::may_look(const PendingJob& waiting) const {
     const Job& job = *waiting.job;
     const JobSpec& s = job.spec;
-    double stagger = constants::preempt_pause_s * static_cast<double>(waiting.shard_rank);
+    double stagger = constants::preemption_cooldown_s * static_cast<double>(waiting.shard_rank);
     double waited = ctx_.now.steady - waiting.pending_since;
-    if (waited < stagger || waited < constants::preempt_after_s) {
+    if (waited < stagger || waited < constants::preemption_wait_s) {
         return false;  // its first member makes room, the others only if it has none to make
     }
     if ((s.tasks > 1 && s.kind == JobKind::gang) || job.doubtful()) {
@@ -131,7 +131,7 @@
     }
     auto recent = preempted_at_.find(s.uid);
     bool pause = recent != preempted_at_.end() &&
-                 ctx_.now.steady - recent->second < constants::preempt_pause_s;
+                 ctx_.now.steady - recent->second < constants::preemption_cooldown_s;
     return !pause && quota_.within_limit(s.team, s.each);
 }
 
@@ -193,7 +193,7 @@
         return;
     }
     Machine& m = *best->machine;
-    scheduler_.reservations().reserve(m.name, s, constants::preempt_pause_s);
+    scheduler_.reservations().reserve(m.name, s, constants::preemption_cooldown_s);
     ctx_.info("preempt {} tasks on {} for {}", best->tasks.size(), m.name, s.uid);
     for (const auto& id : best->tasks) {
         stop(m, job, id);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -28,7 +28,8 @@
         return;
     }
     double interval_s =
-        constants::round_every_s * pending_queue_.round_interval_factor(constants::round_rarely);
+        constants::scheduling_round_interval_s *
+        pending_queue_.round_interval_factor(constants::scheduling_round_slowdown_factor_max);
     if (ctx_.now.steady - last_round_at_ >= interval_s) {
         run_round();
     }
@@ -90,7 +91,7 @@
     const Job& job = *pending.job;
     bool is_batched = batched_claims_.is_batched(job);
     double stagger_s =
-        is_batched ? 0 : constants::home_stagger_s * static_cast<double>(pending.shard_rank);
+        is_batched ? 0 : constants::shard_stagger_s * static_cast<double>(pending.shard_rank);
     bool is_of_other_owner =
         is_batched && job.block_count() == 1 && !batched_claims_.may_claim(job, 0);
     return !is_of_other_owner && ctx_.now.steady - pending.pending_since >= stagger_s;
@@ -180,7 +181,7 @@
         longest_wait_s = std::max(longest_wait_s, ctx_.tunables.locality_wait_s);
     }
     if (drawbacks.spot_machine_fits) {
-        longest_wait_s = std::max(longest_wait_s, constants::cheap_pass_s);
+        longest_wait_s = std::max(longest_wait_s, constants::spot_machine_wait_s);
     }
     auto state = delay_scheduling_.state_of(spec.uid);
     bool may_wait = state.level == LocalityLevel::image_local || drawbacks.spot_machine_fits;
--- a/src/core/scheduling/task_claims.cpp
+++ b/src/core/scheduling/task_claims.cpp
@@ -82,7 +82,8 @@
         }
         Block next = next_block(job, block, is_batched);
         std::vector<TaskPlace> places = choose_places(job, block, next, candidates, claimed);
-        bool to_batched_record = is_batched && places.size() < constants::sheet_claim_tasks &&
+        bool to_batched_record = is_batched &&
+                                 places.size() < constants::block_record_claim_tasks_min &&
                                  !claim_writer_.is_in_doubt(job.block_key(block));
         ClaimTarget target =
             to_batched_record ? ClaimTarget::batched_record : ClaimTarget::block_record;
--- a/src/core/store/job.hpp
+++ b/src/core/store/job.hpp
@@ -83,7 +83,7 @@
     void add_block(int index, const Block& next, Txn& txn) const;
     /// Whether it failed again after another try: an error of the job itself is then likelier than
     /// a second faulty machine.
-    bool doubtful() const { return fails >= constants::job_fails_doubtful; }
+    bool doubtful() const { return fails >= constants::job_backoff_failures_min; }
     /// Whether it is a gang whose attempt is to be stopped whole, by the owners of all its machines
     /// at once, so that it saves a checkpoint.
     bool stopping() const;
--- a/src/core/store/record_codec.cpp
+++ b/src/core/store/record_codec.cpp
@@ -137,7 +137,7 @@
 }
 
 std::size_t bytes_of(const Block& block) {
-    std::size_t sum = constants::block_frame_bytes;
+    std::size_t sum = constants::block_overhead_bytes;
     for (const auto& [task, p] : block.placed) {
         sum += bytes_of(task, p);
     }
@@ -267,7 +267,7 @@
 
 std::size_t bytes_of(const BatchEntry& e) {
     // ["uid",0,revision,[...],[...],[...]],
-    std::size_t sum = e.uid.size() + constants::entry_frame_bytes;
+    std::size_t sum = e.uid.size() + constants::batch_entry_overhead_bytes;
     for (const auto& [task, p] : e.placed) {
         sum += bytes_of(task, p) - p.zone.size();
     }
--- a/src/ctl/client_request.cpp
+++ b/src/ctl/client_request.cpp
@@ -51,7 +51,7 @@
 
 ClientRequest::ClientRequest(io::Loop& loop, const std::string& server, RetryPolicy policy)
     : loop_(loop),
-      client_(loop, server, 1, constants::peer_answer_max),
+      client_(loop, server, 1, constants::peer_response_bytes_max),
       policy_(policy),
       retry_timer_(loop, [this] { send(); }) {}
 
@@ -98,23 +98,24 @@
 }
 
 Response ClientRequest::submit(const Json& job) {
-    return run({"POST", "/work", wire::encode_cbor(job), constants::submit_answer_s,
+    return run({"POST", "/work", wire::encode_cbor(job), constants::submission_response_timeout_s,
                 policy_.again_s, policy_.request_s, classify_submission});
 }
 
 Response ClientRequest::cancel(const std::string& uid) {
-    return run({"POST", fmt::format("/work/{}/cancel", uid), "", constants::submit_answer_s,
-                policy_.again_s, policy_.request_s, classify_known_job});
+    return run({"POST", fmt::format("/work/{}/cancel", uid), "",
+                constants::submission_response_timeout_s, policy_.again_s, policy_.request_s,
+                classify_known_job});
 }
 
 Response ClientRequest::status(const std::string& uid) {
-    return run({"GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, policy_.again_s,
-                policy_.request_s, classify_known_job});
+    return run({"GET", fmt::format("/work/{}", uid), "", constants::status_response_timeout_s,
+                policy_.again_s, policy_.request_s, classify_known_job});
 }
 
 Response ClientRequest::wait(const std::string& uid) {
-    return run({"GET", fmt::format("/work/{}", uid), "", constants::poll_answer_s, policy_.poll_s,
-                policy_.wait_s, classify_wait});
+    return run({"GET", fmt::format("/work/{}", uid), "", constants::status_response_timeout_s,
+                policy_.poll_s, policy_.wait_s, classify_wait});
 }
 
 std::string describe(const Response& response, bool json) {
--- a/src/ctl/client_request.hpp
+++ b/src/ctl/client_request.hpp
@@ -28,13 +28,13 @@
 /// When requests are sent again, and for how long; all in seconds.
 struct RetryPolicy {
     /// A submission, cancellation or status query is repeated for so long.
-    double request_s = core::constants::user_patience_s;
+    double request_s = core::constants::client_retry_duration_s;
     /// Least time between two tries.
-    double again_s = core::constants::user_again_s;
+    double again_s = core::constants::client_retry_interval_min_s;
     /// Longest `retry-after` that is obeyed.
-    double retry_max_s = core::constants::user_retry_max_s;
+    double retry_max_s = core::constants::client_retry_after_max_s;
     /// Time between two polls of a job that is waited for.
-    double poll_s = core::constants::user_poll_s;
+    double poll_s = core::constants::client_poll_interval_s;
     /// A job is waited for so long; 0: as long as it takes.
     double wait_s = 0;
 };
--- a/src/io/cloud_client.cpp
+++ b/src/io/cloud_client.cpp
@@ -18,10 +18,10 @@
 
 CloudClient::CloudClient(Loop& loop, const core::Settings& settings, Done done)
     : done_(std::move(done)),
-      client_(loop, settings.cloud_address, constants::cloud_connections,
-              constants::cloud_answer_max),
-      budget_(settings.cloud_rps * constants::cloud_share,
-              settings.cloud_rps * constants::cloud_share),
+      client_(loop, settings.cloud_address, constants::cloud_connections_max,
+              constants::cloud_response_bytes_max),
+      budget_(settings.cloud_rps * constants::cloud_request_share,
+              settings.cloud_rps * constants::cloud_request_share),
       timer_(loop, [this] { send_queued(); }) {}
 
 void CloudClient::call(core::CloudCall call) {
--- a/src/io/gateway.cpp
+++ b/src/io/gateway.cpp
@@ -22,10 +22,10 @@
       controller_(controller),
       client_server_(
           loop, settings.serve_on,
-          static_cast<std::size_t>(settings.max_connections * constants::front_share),
+          static_cast<std::size_t>(settings.max_connections * constants::client_connections_share),
           [this](std::uint64_t request, HttpMessage&& message) { serve_client(request, message); }),
       peer_server_(
-          loop, settings.back, constants::back_connections,
+          loop, settings.back, constants::peer_server_connections_max,
           [this](std::uint64_t request, HttpMessage&& message) { serve_peer(request, message); }),
       store_(loop, settings,
              [this](std::uint64_t call, const core::StoreReply& reply) {
@@ -44,16 +44,18 @@
                   }),
       prune_timer_(loop, [this] { prune_worker_clients(); }) {
     for (const auto& peer : settings.peers) {
-        peers_[peer.name] = std::make_unique<HttpClient>(
-            loop, peer.address, constants::peer_connections, constants::peer_answer_max);
+        peers_[peer.name] =
+            std::make_unique<HttpClient>(loop, peer.address, constants::peer_client_connections_max,
+                                         constants::peer_response_bytes_max);
     }
 }
 
 void Gateway::start() {
     controller_.start(Loop::now());
     perform_actions();
-    tick_timer_.start(constants::core_tick_s, constants::core_tick_s);
-    prune_timer_.start(constants::worker_prune_s, constants::worker_prune_s);
+    tick_timer_.start(constants::core_tick_interval_s, constants::core_tick_interval_s);
+    prune_timer_.start(constants::worker_client_prune_interval_s,
+                       constants::worker_client_prune_interval_s);
 }
 
 // --- requests of users and workers
@@ -194,7 +196,7 @@
 void Gateway::perform(const core::WorkerCommandCall& call) {
     wire::HttpRequest request = wire::worker_request(call);
     worker_client(call.address)
-        .request(request.method, request.target, request.body, constants::order_timeout_s,
+        .request(request.method, request.target, request.body, constants::direct_command_timeout_s,
                  [this, id = call.id](const HttpMessage* response) {
                      handle_worker_response(id, response);
                  });
@@ -217,7 +219,8 @@
         controller_.peer_reply(Loop::now(), call.id, false, std::nullopt);
         return;
     }
-    double timeout_s = call.relay ? constants::relay_timeout_s : constants::peer_beat_s;
+    double timeout_s =
+        call.relay ? constants::relay_timeout_s : constants::peer_heartbeat_interval_s;
     peer->second->request(
         "POST", wire::peer_path, wire::encode_peer_call(settings_.name, call), timeout_s,
         [this, id = call.id](const HttpMessage* response) { handle_peer_response(id, response); });
@@ -251,8 +254,9 @@
 HttpClient& Gateway::worker_client(const std::string& address) {
     auto& client = workers_[address];
     if (!client) {
-        client = std::make_unique<HttpClient>(loop_, address, constants::worker_connections,
-                                              constants::peer_answer_max);
+        client =
+            std::make_unique<HttpClient>(loop_, address, constants::worker_client_connections_max,
+                                         constants::peer_response_bytes_max);
     }
     return *client;
 }
@@ -262,11 +266,11 @@
 void Gateway::prune_worker_clients() {
     double now = Loop::now().steady;
     auto clients_max =
-        static_cast<std::size_t>(settings_.max_connections * constants::orders_share);
+        static_cast<std::size_t>(settings_.max_connections * constants::worker_clients_share);
     for (auto it = workers_.begin(); it != workers_.end();) {
         const HttpClient& client = *it->second;
         bool is_surplus = workers_.size() > clients_max && !client.busy();
-        bool is_idle = now - client.last_used() > constants::worker_idle_s;
+        bool is_idle = now - client.last_used() > constants::worker_client_idle_timeout_s;
         it = is_surplus || is_idle ? workers_.erase(it) : std::next(it);
     }
 }
--- a/src/io/http_parser.cpp
+++ b/src/io/http_parser.cpp
@@ -140,7 +140,7 @@
 bool HttpParser::next_line(std::string& out) {
     std::size_t end = buffer_.find('\n');
     std::size_t seen = end == std::string::npos ? buffer_.size() : end + 1;
-    if (head_bytes_ + seen > constants::head_max) {
+    if (head_bytes_ + seen > constants::head_bytes_max) {
         stage_ = Stage::bad;
         return false;
     }
@@ -293,7 +293,7 @@
         case Stage::complete:
             // Guards against a sender that goes on while its request is being answered: what waits
             // here is never more than one more request may be.
-            if (buffer_.size() > constants::head_max + body_max_) {
+            if (buffer_.size() > constants::head_bytes_max + body_max_) {
                 stage_ = Stage::too_large;
                 return true;
             }
@@ -342,7 +342,7 @@
 // The size in hexadecimal digits, and extensions behind a semicolon, which are ignored.
 void HttpParser::parse_chunk_size(const std::string& line) {
     std::string digits = trim(line.substr(0, line.find(';')));
-    bool is_valid = !digits.empty() && digits.size() <= constants::chunk_digits_max &&
+    bool is_valid = !digits.empty() && digits.size() <= constants::chunk_size_digits_max &&
                     std::all_of(digits.begin(), digits.end(),
                                 [](unsigned char c) { return std::isxdigit(c) != 0; });
     if (!is_valid) {
--- a/src/io/http_parser.hpp
+++ b/src/io/http_parser.hpp
@@ -24,8 +24,8 @@
     const std::string* header(std::string_view name) const;
 };
 
-/// Parses the messages of one connection (RFC 9112). Limits: `constants::head_max` bytes of start
-/// line, headers and trailers, and `body_max` bytes of body.
+/// Parses the messages of one connection (RFC 9112). Limits: `constants::head_bytes_max` bytes of
+/// start line, headers and trailers, and `body_max` bytes of body.
 class HttpParser {
   public:
     /// Which kind of messages it parses.
--- a/src/io/http_server.cpp
+++ b/src/io/http_server.cpp
@@ -38,7 +38,8 @@
     }
     listener_ = std::make_unique<Descriptor>(loop_, fd, [this](int) { accept_batch(); });
     listener_->watch(EV_READ);
-    timeout_timer_.start(constants::connection_sweep_s, constants::connection_sweep_s);
+    timeout_timer_.start(constants::connection_check_interval_s,
+                         constants::connection_check_interval_s);
 }
 
 HttpServer::~HttpServer() = default;
@@ -46,7 +47,7 @@
 // --- connections
 
 void HttpServer::accept_batch() {
-    for (int i = 0; i < constants::accept_batch; ++i) {
+    for (int i = 0; i < constants::accept_batch_connections_max; ++i) {
         int fd = ::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             return;
@@ -102,14 +103,15 @@
 // of three controllers are out of service, all workers and users connect to this one.
 bool HttpServer::shed_one() {
     double now = Loop::now().steady;
-    if (!incomplete_.empty() && now - incomplete_.begin()->began >= constants::half_sent_spare_s) {
+    if (!incomplete_.empty() &&
+        now - incomplete_.begin()->began >= constants::shed_incomplete_min_s) {
         close(incomplete_.begin()->id);
         return true;
     }
     // The one idle for longest, of each rank.
     for (auto it = idle_.begin(); it != idle_.end();
          it = idle_.lower_bound({it->shed_rank + 1, 0, 0})) {
-        if (now - it->since >= constants::idle_spare_s) {
+        if (now - it->since >= constants::shed_idle_min_s) {
             close(it->id);
             return true;
         }
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -47,7 +47,7 @@
   private:
     // Times are in seconds on the steady clock.
     struct Connection {
-        Connection() : parser(HttpParser::Role::request, core::constants::body_max) {}
+        Connection() : parser(HttpParser::Role::request, core::constants::request_body_bytes_max) {}
         std::unique_ptr<Descriptor> descriptor;
         HttpParser parser;
         std::string output;         // still to be sent
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -122,7 +122,7 @@
     int on = 1;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     if (::bind(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 ||
-        ::listen(fd, core::constants::listen_backlog) != 0) {
+        ::listen(fd, core::constants::listen_backlog_max) != 0) {
         return close_failed(fd);
     }
     return fd;
--- a/src/io/store_client.cpp
+++ b/src/io/store_client.cpp
@@ -27,20 +27,21 @@
 
 StoreClient::StoreClient(Loop& loop, const core::Settings& settings, Done done)
     : done_(std::move(done)),
-      calls_(loop, settings.state_address, constants::state_connections,
-             constants::state_answer_max),
-      watches_(loop, settings.state_address, constants::watch_connections,
-               constants::state_answer_max),
-      requests_(settings.state_rps * constants::state_rate_share,
-                settings.state_rps * constants::state_rate_share),
-      writes_(settings.state_write_rps * constants::state_write_share,
-              settings.state_write_rps * constants::state_write_share),
-      watch_requests_(settings.state_rps * constants::watch_share, constants::watch_burst),
+      calls_(loop, settings.state_address, constants::store_connections_max,
+             constants::store_response_bytes_max),
+      watches_(loop, settings.state_address, constants::watch_connections_max,
+               constants::store_response_bytes_max),
+      requests_(settings.state_rps * constants::store_request_share,
+                settings.state_rps * constants::store_request_share),
+      writes_(settings.state_write_rps * constants::store_write_share,
+              settings.state_write_rps * constants::store_write_share),
+      watch_requests_(settings.state_rps * constants::watch_request_share,
+                      constants::watch_requests_burst_max),
       timer_(loop, [this] { send_queued(); }) {}
 
 void StoreClient::call(core::StoreCall call) {
     QueuedCall queued;
-    queued.deadline = Loop::now().steady + constants::state_timeout_s;
+    queued.deadline = Loop::now().steady + constants::store_timeout_s;
     queued.call = std::move(call);
     if (queued.is_watch()) {
         queued.deadline = never;
@@ -134,9 +135,9 @@
 void StoreClient::send(const QueuedCall& queued) {
     auto request = wire::store_request(queued.call);
     HttpClient& client = queued.is_watch() ? watches_ : calls_;
-    double timeout_s = queued.is_watch()
-                           ? constants::watch_hold_ms / 1000.0 + constants::watch_grace_s
-                           : constants::state_timeout_s;
+    double timeout_s = queued.is_watch() ? constants::watch_duration_max_ms / 1000.0 +
+                                               constants::watch_timeout_margin_s
+                                         : constants::store_timeout_s;
     client.request(
         request.method, request.target, request.body, timeout_s,
         [this, queued](const HttpMessage* response) { handle_response(queued, response); });
@@ -144,7 +145,7 @@
 
 void StoreClient::handle_response(const QueuedCall& queued, const HttpMessage* response) {
     bool over_limit = response != nullptr && response->status == http_too_many_requests;
-    if (over_limit && queued.retries < constants::state_again_max) {
+    if (over_limit && queued.retries < constants::store_rate_limit_retries_max) {
         retry(queued);
         return;
     }
@@ -158,7 +159,7 @@
 // Sends again what was over the limit, which all controllers share, and so was not executed.
 void StoreClient::retry(QueuedCall queued) {
     queued.retries++;
-    queued.not_before = Loop::now().steady + constants::state_again_s * queued.retries;
+    queued.not_before = Loop::now().steady + constants::store_rate_limit_backoff_s * queued.retries;
     enqueue(std::move(queued));
     send_queued();
 }
--- a/src/io/store_client.hpp
+++ b/src/io/store_client.hpp
@@ -23,7 +23,7 @@
     StoreClient(Loop& loop, const core::Settings& settings, Done done);
 
     /// Queues a call and sends it as soon as the budget allows. A call that could not be sent
-    /// within `constants::state_timeout_s` ends as `Status::refused`; a watch waits as long as it
+    /// within `constants::store_timeout_s` ends as `Status::refused`; a watch waits as long as it
     /// must.
     void call(core::StoreCall call);
 
--- a/src/sockets/connection_shedding.cpp
+++ b/src/sockets/connection_shedding.cpp
@@ -9,13 +9,13 @@
 ShedPolicy shed_policy(ClientKind client) {
     switch (client) {
         case ClientKind::worker:
-            return {2, constants::workers_keep_share};
+            return {2, constants::worker_keep_alive_share};
         case ClientKind::user:
-            return {1, constants::users_keep_share};
+            return {1, constants::user_keep_alive_share};
         case ClientKind::unknown:
             break;
     }
-    return {0, constants::users_keep_share};
+    return {0, constants::user_keep_alive_share};
 }
 
 bool keep_open(const ShedPolicy& policy, std::size_t open, std::size_t limit) {
--- a/src/sockets/connection_shedding.hpp
+++ b/src/sockets/connection_shedding.hpp
@@ -2,7 +2,7 @@
 // of client and the number of open connections in, what becomes of the connection out.
 //
 // 1. Room for the other controllers, the key-value store and the cloud is never given away: clients
-//    get only a part of all sockets (constants::front_share).
+//    get only a part of all sockets (constants::client_connections_share).
 // 2. Connections without a request yet, and those of health checks, are closed first.
 // 3. Then users': a poll is one of many, and a new connection may go to a controller with room.
 // 4. Last the workers': a heartbeat that finds no socket costs lease time and with it running work.
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -22,7 +22,8 @@
                                           {"failed", ListedState::failed}});
 
 HttpRequest list_request(const CloudCall& call) {
-    std::string target = "/rentals?most=" + std::to_string(constants::machines_page);
+    std::string target =
+        "/rentals?most=" + std::to_string(constants::machine_listing_page_machines_max);
     if (!call.after.empty()) {
         target += "&from=" + percent_encode(call.after);
     }
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -23,13 +23,13 @@
     if (!call.after.empty()) {
         target += "&from=" + percent_encode(call.after);
     }
-    return {"GET", target + "&most=" + std::to_string(constants::list_page), ""};
+    return {"GET", target + "&most=" + std::to_string(constants::store_listing_page_items_max), ""};
 }
 
 HttpRequest watch_request(const StoreCall& call) {
     return {"GET",
             "/follow?under=" + percent_encode(call.key) + "&from=" + std::to_string(call.since) +
-                "&hold_ms=" + std::to_string(constants::watch_hold_ms),
+                "&hold_ms=" + std::to_string(constants::watch_duration_max_ms),
             ""};
 }
 
