--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -10,25 +10,26 @@
 
 namespace {
 
-// Builds a JSON value from parser events and stops at byte strings and at values nested too deep,
-// before they are built: a recursive value of hostile depth would exhaust the stack.
+// Builds a JSON value from parser events. Rejects byte strings and values that are nested too deep
+// before they are built: a maliciously deep value would exhaust the stack, since it is processed
+// recursively.
 class DepthLimitedBuilder : public nlohmann::json_sax<Json> {
   public:
-    bool null() override { return put(nullptr) != nullptr; }
-    bool boolean(bool value) override { return put(value) != nullptr; }
-    bool number_integer(number_integer_t value) override { return put(value) != nullptr; }
-    bool number_unsigned(number_unsigned_t value) override { return put(value) != nullptr; }
+    bool null() override { return add_value(nullptr) != nullptr; }
+    bool boolean(bool value) override { return add_value(value) != nullptr; }
+    bool number_integer(number_integer_t value) override { return add_value(value) != nullptr; }
+    bool number_unsigned(number_unsigned_t value) override { return add_value(value) != nullptr; }
     bool number_float(number_float_t value, const string_t& /*text*/) override {
-        return put(value) != nullptr;
+        return add_value(value) != nullptr;
     }
-    bool string(string_t& value) override { return put(std::move(value)) != nullptr; }
+    bool string(string_t& value) override { return add_value(std::move(value)) != nullptr; }
     bool binary(binary_t& /*value*/) override { return false; }
-    bool start_object(std::size_t /*size*/) override { return open(Json::object()); }
-    bool end_object() override { return close(); }
-    bool start_array(std::size_t /*size*/) override { return open(Json::array()); }
-    bool end_array() override { return close(); }
+    bool start_object(std::size_t /*size*/) override { return begin_container(Json::object()); }
+    bool end_object() override { return end_container(); }
+    bool start_array(std::size_t /*size*/) override { return begin_container(Json::array()); }
+    bool end_array() override { return end_container(); }
     bool key(string_t& name) override {
-        member_ = &(*open_.back())[name];
+        member_value_ = &(*open_containers_.back())[name];
         return true;
     }
     bool parse_error(std::size_t /*position*/, const std::string& /*token*/,
@@ -38,36 +39,36 @@
     Json take() { return std::move(root_); }
 
   private:
-    // Stores a value in the innermost open array, or under the key that was begun last, and returns
-    // its place there.
-    Json* put(Json value) {
-        if (open_.empty()) {
+    // Appends a value to the innermost open array, or stores it under the key read last, and
+    // returns a pointer to the stored value.
+    Json* add_value(Json value) {
+        if (open_containers_.empty()) {
             root_ = std::move(value);
             return &root_;
         }
-        Json& container = *open_.back();
+        Json& container = *open_containers_.back();
         if (container.is_array()) {
             container.push_back(std::move(value));
             return &container.back();
         }
-        *member_ = std::move(value);
-        return member_;
+        *member_value_ = std::move(value);
+        return member_value_;
     }
-    bool open(Json container) {
-        if (open_.size() >= core::constants::message_depth_max) {
+    bool begin_container(Json container) {
+        if (open_containers_.size() >= core::constants::message_depth_max) {
             return false;
         }
-        open_.push_back(put(std::move(container)));
+        open_containers_.push_back(add_value(std::move(container)));
         return true;
     }
-    bool close() {
-        open_.pop_back();
+    bool end_container() {
+        open_containers_.pop_back();
         return true;
     }
 
     Json root_;
-    std::vector<Json*> open_;  // containers begun and not ended, outermost first
-    Json* member_ = nullptr;   // the place of the key that was begun last
+    std::vector<Json*> open_containers_;  // containers not ended yet, outermost first
+    Json* member_value_ = nullptr;        // the value slot of the key read last
 };
 
 }  // namespace
@@ -89,15 +90,15 @@
 }
 
 std::string encode_cbor(const Json& value) {
-    std::string out;
-    Json::to_cbor(value, out);
-    return out;
+    std::string encoded;
+    Json::to_cbor(value, encoded);
+    return encoded;
 }
 
 bool is_utf8(const std::string& text) {
-    bool ascii = std::all_of(text.begin(), text.end(),
-                             [](char c) { return static_cast<unsigned char>(c) < 0x80; });
-    if (ascii) {
+    bool is_ascii = std::all_of(text.begin(), text.end(),
+                                [](char c) { return static_cast<unsigned char>(c) < 0x80; });
+    if (is_ascii) {
         return true;
     }
     try {
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -1,4 +1,5 @@
-// CBOR, the encoding of every message body (protocol, head section), to and from JSON values.
+/// Conversion between JSON values and CBOR, the encoding of every message body (protocol, head
+/// section).
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,17 +11,16 @@
 
 using Json = nlohmann::json;
 
-/// Decodes one whole CBOR value. An error for anything else, for byte strings, and for a value that
-/// is nested deeper than `constants::message_depth_max`.
+/// Decodes a body that consists of exactly one CBOR value. Returns an error for anything else, for
+/// byte strings, and for a value nested deeper than `constants::message_depth_max`.
 Decoded<Json> decode_cbor(const std::string& body);
 
-/// Decodes a CBOR map, which the body of every message is.
+/// Like `decode_cbor`, but accepts only a map, which the body of every message must be.
 Decoded<Json> decode_cbor_map(const std::string& body);
 
-/// Encodes a value as CBOR.
 std::string encode_cbor(const Json& value);
 
-/// Whether the text is valid UTF-8. Other text can be written into no record.
+/// Whether the text is valid UTF-8. Text that is not can't be stored in any record.
 bool is_utf8(const std::string& text);
 
 }  // namespace cranemoor::wire
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -14,7 +14,11 @@
 
 namespace {
 
-constexpr double boot_s_default = 60;  // of a type that gives no boot time
+// The protocol's names: a "roost" is a machine, a "breed" a machine type, a "marsh" a zone, a
+// "driftwood" machine a spot instance, a "loan" a launch request, a "stance" the state of a
+// machine.
+
+constexpr double boot_s_default = 60;  // for a machine type without a boot time
 
 constexpr auto listed_states =
     std::to_array<EnumName<ListedState>>({{"starting", ListedState::starting},
@@ -30,7 +34,7 @@
     return {"GET", target, ""};
 }
 
-HttpRequest rent_request(const CloudCall& call) {
+HttpRequest launch_request(const CloudCall& call) {
     return {"POST", "/rentals",
             encode_cbor({{"loan", call.request},
                          {"breed", call.type},
@@ -80,20 +84,21 @@
     if (!fields.ok()) {
         return fields.error();
     }
-    // Starting machines may have no address and no age.
+    // A machine that is starting may have no address and no age yet.
     if (!fields.is_null("endpoint") && map.at("endpoint").is_string()) {
         machine.address = map.at("endpoint").get<std::string>();
     }
-    machine.age_s = fields.is_null("held_s") ? 0 : fields.amount("held_s");
+    machine.age_s = fields.is_null("held_s") ? 0 : fields.number("held_s");
     return machine;
 }
 
-// The part of a successful reply that depends on the call. Throws if it can't be read.
+// Reads the part of a successful reply that depends on the call. Throws `Json::exception` if it is
+// malformed.
 void read_result(CloudCall::Kind kind, const Json& map, CloudReply& reply) {
     switch (kind) {
         case CloudCall::Kind::types:
-            for (const auto& each : map.at("breeds")) {
-                reply.types.push_back(read_machine_type(each));
+            for (const auto& entry : map.at("breeds")) {
+                reply.types.push_back(read_machine_type(entry));
             }
             break;
         case CloudCall::Kind::launch:
@@ -101,8 +106,8 @@
             break;
         case CloudCall::Kind::list:
             reply.has_more = map.value("has_next", false);
-            for (const auto& each : map.at("roosts")) {
-                if (auto machine = decode_listed_machine(each)) {
+            for (const auto& entry : map.at("roosts")) {
+                if (auto machine = decode_listed_machine(entry)) {
                     reply.listed.push_back(std::move(*machine));
                 }
             }
@@ -112,7 +117,7 @@
     }
 }
 
-// Throws if the reply can't be read.
+// Throws `Json::exception` if the reply is malformed.
 CloudReply read_reply(const CloudCall& call, int http_status, const Json& map) {
     CloudReply reply;
     if (says_no_capacity(call, http_status, map)) {
@@ -141,7 +146,7 @@
         case CloudCall::Kind::launch:
             break;
     }
-    return rent_request(call);
+    return launch_request(call);
 }
 
 CloudReply decode_cloud_reply(const CloudCall& call, int status, const std::string& body) {
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -1,4 +1,4 @@
-// Messages between controllers and the cloud (protocol, "Controller nodes -> cloud").
+/// Messages between controllers and the cloud provider (protocol, "Controller nodes -> cloud").
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace cranemoor::wire {
 
-/// The HTTP request that carries out a call to the cloud.
+/// The HTTP request that carries out a call to the cloud provider.
 HttpRequest cloud_request(const core::CloudCall& call);
 
-/// Decodes the answer to `call`. An answer that can't be read gives `Status::unknown`; of a list of
-/// machines only the entries that can't be read are left out.
+/// Decodes the reply to `call`. A malformed reply gives `Status::unknown`; in a list of machines,
+/// only the malformed entries are left out.
 core::CloudReply decode_cloud_reply(const core::CloudCall& call, int status,
                                     const std::string& body);
 
--- a/src/wire/decode_error.hpp
+++ b/src/wire/decode_error.hpp
@@ -1,4 +1,4 @@
-// The outcome of decoding a message: the typed value, or the error that says which field is wrong.
+/// The result of decoding a message: the typed value, or an error that names the invalid field.
 #pragma once
 
 #include <optional>
@@ -10,34 +10,29 @@
 
 /// Why a message could not be decoded.
 struct DecodeError {
-    std::string field;    ///< the first missing or invalid field; empty if the whole body is
-    std::string message;  ///< the text given to the sender, which names the field
+    std::string field;    ///< the first missing or invalid field; empty: the whole body is invalid
+    std::string message;  ///< error text for the sender; names the field, if any
 };
 
-/// A decoded value or the error that prevented it, with the access operators of `std::optional`.
+/// A decoded value, or the reason why there is none, with the access operators of `std::optional`.
 template <typename Value, typename Error = DecodeError>
 class Decoded {
   public:
-    /// A value that was decoded.
     Decoded(Value value) : result_(std::in_place_index<0>, std::move(value)) {}
-    /// A failure to decode.
     Decoded(Error error) : result_(std::in_place_index<1>, std::move(error)) {}
 
-    /// Whether there is a value.
+    /// True if there is a value.
     explicit operator bool() const { return result_.index() == 0; }
-    /// The value; throws `std::bad_variant_access` if there is an error instead.
+    /// Returns the value, as do the overloads below; throws `std::bad_variant_access` if there is
+    /// an error instead.
     Value& operator*() & { return std::get<0>(result_); }
-    /// The value, read only.
     const Value& operator*() const& { return std::get<0>(result_); }
-    /// The value of a temporary, moved out.
     Value operator*() && { return std::get<0>(std::move(result_)); }
-    /// A member of the value.
     Value* operator->() { return &std::get<0>(result_); }
-    /// A member of the value, read only.
     const Value* operator->() const { return &std::get<0>(result_); }
-    /// The error; throws `std::bad_variant_access` if there is a value instead.
+    /// Returns the error; throws `std::bad_variant_access` if there is a value instead.
     const Error& error() const { return std::get<1>(result_); }
-    /// The value moved out, or none where the reason does not matter.
+    /// Moves the value out and drops the error; null if there is no value.
     std::optional<Value> to_optional() && {
         return *this ? std::optional<Value>(std::get<0>(std::move(result_))) : std::nullopt;
     }
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -31,7 +31,7 @@
     return text;
 }
 
-double Fields::amount(const char* key, double min, double max) {
+double Fields::number(const char* key, double min, double max) {
     const Json* value = find(key);
     double number = value != nullptr && value->is_number() ? value->get<double>() : std::nan("");
     if (!std::isfinite(number) || number < min || number > max) {
@@ -41,11 +41,11 @@
     return number;
 }
 
-std::optional<double> Fields::amount_or_null(const char* key) {
+std::optional<double> Fields::number_or_null(const char* key) {
     if (is_null(key)) {
         return std::nullopt;
     }
-    return amount(key);
+    return number(key);
 }
 
 std::uint64_t Fields::count(const char* key, std::uint64_t min, std::uint64_t max) {
@@ -105,8 +105,8 @@
     if (!map_.is_object()) {
         return nullptr;
     }
-    auto it = map_.find(key);
-    return it == map_.end() ? nullptr : &*it;
+    auto entry = map_.find(key);
+    return entry == map_.end() ? nullptr : &*entry;
 }
 
 }  // namespace cranemoor::wire
--- a/src/wire/http_request.cpp
+++ b/src/wire/http_request.cpp
@@ -6,17 +6,17 @@
 
 std::string percent_encode(const std::string& text) {
     static constexpr const char* hex_digits = "0123456789ABCDEF";
-    std::string out;
-    for (unsigned char c : text) {
-        if (std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.' || c == '/') {
-            out += static_cast<char>(c);
+    std::string encoded;
+    for (unsigned char byte : text) {
+        if (std::isalnum(byte) != 0 || byte == '-' || byte == '_' || byte == '.' || byte == '/') {
+            encoded += static_cast<char>(byte);
         } else {
-            out += '%';
-            out += hex_digits[c >> 4];
-            out += hex_digits[c & 15];
+            encoded += '%';
+            encoded += hex_digits[byte >> 4];
+            encoded += hex_digits[byte & 15];
         }
     }
-    return out;
+    return encoded;
 }
 
 }  // namespace cranemoor::wire
--- a/src/wire/http_request.hpp
+++ b/src/wire/http_request.hpp
@@ -1,18 +1,19 @@
-// An HTTP request as the encoders produce it, independent of the client that sends it.
+/// The HTTP requests that the encoders produce, independent of the client that sends them.
 #pragma once
 
 #include <string>
 
 namespace cranemoor::wire {
 
-/// A request to another service.
+/// An HTTP request to another process.
 struct HttpRequest {
     std::string method;
     std::string target;  ///< path and query, percent-encoded
     std::string body;    ///< CBOR; empty for GET
 };
 
-/// Percent-encodes a text for a path or a query value; slashes stay, as the protocol's keys need.
+/// Percent-encodes a text for a path or a query value. Slashes are kept, because the keys of the
+/// protocol contain them.
 std::string percent_encode(const std::string& text);
 
 }  // namespace cranemoor::wire
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -16,7 +16,10 @@
 
 namespace {
 
-constexpr double wall_s_max = 1e12;  // of a time in seconds since the Unix epoch
+// Names in the messages that differ from those in the code: "report" is a relayed heartbeat,
+// "rentals" are launch notices, "pressure" is an overload sample, "home" the machine's owner.
+
+constexpr double unix_time_s_max = 1e12;  // bound on a time in seconds since the Unix epoch
 
 constexpr auto lease_grants =
     std::to_array<EnumName<read_leases::Grant>>({{"none", read_leases::Grant::none},
@@ -45,11 +48,11 @@
         return invalid_field("cancelled");
     }
     std::vector<Cancellation> cancellations;
-    for (const auto& each : list) {
-        Fields fields(each);
+    for (const auto& entry : list) {
+        Fields fields(entry);
         Cancellation cancellation;
         cancellation.uid = fields.text("uid");
-        cancellation.cancelled_wall = fields.amount("wall", 0, wall_s_max);
+        cancellation.cancelled_wall = fields.number("wall", 0, unix_time_s_max);
         if (!fields.ok()) {
             return fields.error();
         }
@@ -81,7 +84,7 @@
     return lease;
 }
 
-// --- launch notices and pressure
+// --- launch notices and overload samples
 
 Json encode_launch_notice(const LaunchNotice& notice) {
     return {{"request", notice.request},  {"type", notice.type},   {"zone", notice.zone},
@@ -94,8 +97,8 @@
         return invalid_field("rentals");
     }
     std::vector<LaunchNotice> notices;
-    for (const auto& each : list) {
-        Fields fields(each);
+    for (const auto& entry : list) {
+        Fields fields(entry);
         LaunchNotice notice;
         notice.request = fields.text("request");
         notice.type = fields.text("type");
@@ -115,16 +118,16 @@
 Decoded<OverloadSample> decode_overload_sample(const Json& map) {
     Fields fields(map);
     OverloadSample overload_sample;
-    overload_sample.write_wait_s = fields.amount("write_wait_s");
-    overload_sample.writes_per_s = fields.amount("writes");
+    overload_sample.write_wait_s = fields.number("write_wait_s");
+    overload_sample.writes_per_s = fields.number("writes");
     if (!fields.ok()) {
         return fields.error();
     }
     return overload_sample;
 }
 
-// Decodes a field with `decode` into `out`, unless it is missing or null. Returns the error, if
-// any.
+// Decodes a field with `decode` into `out`; leaves `out` unchanged if the field is missing or null.
+// Returns the decoder's error, if any.
 template <typename Value, typename Decode>
 std::optional<DecodeError> decode_optional(const Json& map, const char* key, Decode decode,
                                            Value& out) {
@@ -139,7 +142,7 @@
     return std::nullopt;
 }
 
-// The parts that a call may or may not have.
+// Decodes the optional parts of a call.
 std::optional<DecodeError> decode_parts(const Json& map, PeerCall& call) {
     if (auto error = decode_optional(map, "report", decode_heartbeat, call.relayed_heartbeat)) {
         return error;
--- a/src/wire/peer_messages.hpp
+++ b/src/wire/peer_messages.hpp
@@ -1,6 +1,6 @@
-// Messages between controllers (protocol, "Controller nodes <-> controller nodes", which leaves
-// their content to the service). A new field must be optional, since during an upgrade controllers
-// of two versions talk to each other.
+/// Messages between controllers; the protocol ("Controller nodes <-> controller nodes") leaves
+/// their content to the service. A new field must be optional, since during an upgrade controllers
+/// of two versions exchange messages.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace cranemoor::wire {
 
-/// The path of calls between controllers, with POST.
+/// Path of the calls between controllers; the method is POST.
 inline constexpr const char* peer_path = "/peer";
 
 /// A call from another controller.
@@ -25,10 +25,10 @@
 /// Decodes a call from another controller.
 Decoded<PeerMessage> decode_peer_call(const std::string& body);
 
-/// Encodes the answer to a relayed heartbeat.
+/// Encodes the reply to a relayed heartbeat.
 std::string encode_peer_reply(const core::WorkerReply& reply);
 
-/// Decodes the answer to a relayed heartbeat.
+/// Decodes the reply to a relayed heartbeat.
 Decoded<core::WorkerReply> decode_peer_reply(const std::string& body);
 
 }  // namespace cranemoor::wire
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -16,6 +16,9 @@
 
 namespace {
 
+// The protocol's names: a "ripple" is the revision of a key or an event, the "tide" the revision of
+// the store, a "tether" a lease.
+
 // --- requests
 
 HttpRequest list_request(const StoreCall& call) {
@@ -47,7 +50,7 @@
     return map;
 }
 
-// A transaction without writes, which only compares, goes without "then".
+// A transaction without writes only checks its conditions; it is sent without "then".
 HttpRequest transaction_request(const Txn& transaction) {
     Json conditions = Json::array();
     for (const auto& condition : transaction.conditions) {
@@ -66,16 +69,16 @@
 
 // --- replies
 
-// A reply that can't be read.
-class UnreadableReply : public std::exception {};
+// Thrown if a reply is malformed.
+class MalformedReply : public std::exception {};
 
-// Reads an integer field. Guards against the conversion of numbers that no integer can hold, which
-// is undefined.
+// Reads an integer field. Rejects numbers that do not fit the integer type, because converting them
+// is undefined behavior.
 std::uint64_t read_count(const Json& map, const char* key) {
     Fields fields(map);
     auto count = fields.count(key);
     if (!fields.ok()) {
-        throw UnreadableReply();
+        throw MalformedReply();
     }
     return count;
 }
@@ -121,14 +124,14 @@
 }
 
 void read_events(Json& map, StoreReply& reply) {
-    for (auto& each : map.at("log")) {
-        reply.events.push_back(read_event(each));
+    for (auto& entry : map.at("log")) {
+        reply.events.push_back(read_event(entry));
     }
     std::stable_sort(reply.events.begin(), reply.events.end(),
                      [](const Event& a, const Event& b) { return a.revision < b.revision; });
 }
 
-// The part of a successful reply that depends on the call. Throws if it can't be read.
+// Reads the part of a successful reply that depends on the call. Throws if it is malformed.
 void read_result(StoreCall::Kind kind, Json& map, StoreReply& reply) {
     switch (kind) {
         case StoreCall::Kind::get:
@@ -149,7 +152,7 @@
     }
 }
 
-// Throws if the reply can't be read.
+// Throws if the reply is malformed.
 StoreReply read_reply(StoreCall::Kind kind, int http_status, Json& map) {
     StoreReply reply;
     reply.status = reply_status(http_status);
--- a/src/wire/store_messages.hpp
+++ b/src/wire/store_messages.hpp
@@ -1,5 +1,5 @@
-// Messages between controllers and the key-value store (protocol, "Controller nodes -> state
-// service").
+/// Messages between controllers and the key-value store (protocol, "Controller nodes -> state
+/// service").
 #pragma once
 
 #include <string>
@@ -12,8 +12,8 @@
 /// The HTTP request that carries out a call to the key-value store.
 HttpRequest store_request(const core::StoreCall& call);
 
-/// Decodes the answer to `call`. An answer that can't be read gives `Status::unknown`: it says
-/// nothing about whether the call was executed. Events come out in order of revision.
+/// Decodes the reply to `call`. A malformed reply gives `Status::unknown`, because it does not show
+/// whether the call was executed. Watch events are returned in order of revision.
 core::StoreReply decode_store_reply(const core::StoreCall& call, int status,
                                     const std::string& body);
 
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view job_path_prefix = "/work/";
 constexpr std::string_view cancel_suffix = "/cancel";
 constexpr std::size_t uid_bytes_max = 32;
-constexpr std::uint64_t tasks_max = 100000;  // of one job, by the protocol
+constexpr std::uint64_t tasks_max = 100000;  // in one job, given by the protocol
 
 constexpr auto job_kinds = std::to_array<EnumName<JobKind>>(
     {{"array", JobKind::array}, {"gang", JobKind::gang}, {"service", JobKind::service}});
@@ -26,7 +26,8 @@
                                        {"high", Priority::high},
                                        {"best_effort", Priority::best_effort}});
 
-// Text that is not UTF-8, also in fields that are not read: no record could keep it.
+// Whether any text in the map is not UTF-8, in unknown fields too: such text can't be stored in any
+// record.
 bool has_invalid_utf8(const Json& map) {
     try {
         (void)map.dump();
@@ -36,7 +37,7 @@
     }
 }
 
-// The jobs that this one depends on, each once.
+// Reads the ids of the jobs that this one depends on, without duplicates.
 std::vector<std::string> read_dependencies(Fields& fields) {
     std::vector<std::string> uids = fields.texts("follows");
     if (!std::all_of(uids.begin(), uids.end(), is_valid_uid)) {
@@ -47,18 +48,22 @@
     return uids;
 }
 
-// All fields but the job's id.
+// Reads all fields except the job's id. The protocol's names: "flock" is the job class, "crew" the
+// team, "gait" the kind, "rank" the priority, "hatchlings" the number of tasks, "plumage" the
+// image, "breeds" the machine types, "marsh" the zone, "driftwood" whether spot instances are
+// allowed, "flight_s" the estimated run time, "nestmark_s" the interval between checkpoints,
+// "preen_s" the time to save one, "dusk_s" the deadline, "follows" the dependencies.
 void read_job(Fields& fields, JobSpec& spec) {
     spec.job_class = fields.text("flock");
     spec.team = fields.text("crew");
     spec.kind = fields.choice("gait", job_kinds);
     spec.priority = fields.choice("rank", priorities);
     spec.tasks = static_cast<int>(fields.count("hatchlings", 1, tasks_max));
-    spec.task_resources.cpus = fields.amount("cpus");
-    spec.task_resources.gpus = fields.amount("gpus");
-    spec.task_resources.memory_gb = fields.amount("mem_gb");
+    spec.task_resources.cpus = fields.number("cpus");
+    spec.task_resources.gpus = fields.number("gpus");
+    spec.task_resources.memory_gb = fields.number("mem_gb");
     spec.image = fields.text("plumage");
-    spec.image_gb = fields.amount("size_gb");
+    spec.image_gb = fields.number("size_gb");
     if (!fields.is_null("breeds")) {
         spec.machine_types = fields.texts("breeds");
     }
@@ -68,16 +73,16 @@
     spec.same_zone = fields.flag("together");
     spec.zone_spread = fields.flag("spread");
     spec.spot = fields.flag("driftwood");
-    spec.estimate_s = fields.amount("flight_s");
-    spec.checkpoint_s = fields.amount("nestmark_s");
-    spec.save_s = fields.amount("preen_s");
-    spec.deadline_s = fields.amount_or_null("dusk_s");
+    spec.estimate_s = fields.number("flight_s");
+    spec.checkpoint_s = fields.number("nestmark_s");
+    spec.save_s = fields.number("preen_s");
+    spec.deadline_s = fields.number_or_null("dusk_s");
     if (!fields.is_null("follows")) {
         spec.depends_on = read_dependencies(fields);
     }
 }
 
-// The protocol's word for a job's state.
+// The protocol's name of a job's state.
 std::string state_text(const std::string& state) {
     if (state == "queued") {
         return "pending";
--- a/src/wire/user_messages.hpp
+++ b/src/wire/user_messages.hpp
@@ -1,4 +1,4 @@
-// Messages between users and controllers (protocol, "Users -> controller nodes").
+/// Messages between users and controllers (protocol, "Users -> controller nodes").
 #pragma once
 
 #include <optional>
@@ -10,37 +10,37 @@
 
 namespace cranemoor::wire {
 
-/// The path of health checks, with GET.
+/// Path of health checks; the method is GET.
 inline constexpr const char* health_path = "/healthz";
-/// The path of submissions, with POST.
+/// Path of submissions; the method is POST.
 inline constexpr const char* submission_path = "/work";
 
-/// What a path below the submissions' asks for: a poll or a cancellation of one job.
+/// The parts of a job's path, which is that of a poll or a cancellation.
 struct JobPath {
-    std::string uid;  ///< as given, not checked
+    std::string uid;  ///< not validated
     bool is_cancellation = false;
 };
 
-/// Whether a path is one of a job: "/work/{id}" or "/work/{id}/cancel".
+/// Whether a path is that of a job: "/work/{id}" (poll) or "/work/{id}/cancel".
 bool is_job_path(const std::string& path);
 
-/// Splits the path of a job.
+/// Parses the path of a job; `is_job_path` must hold for it.
 JobPath parse_job_path(const std::string& path);
 
-/// Why a submission is refused, and for which job.
+/// Why a submission is invalid, and which job it is for.
 struct InvalidSubmission {
-    std::optional<std::string> uid;  ///< none if the job's id itself could not be read
+    std::optional<std::string> uid;  ///< null if the job id itself is missing or invalid
     DecodeError error;
 };
 
-/// Decodes the body of a submission ("POST /work"). The list of dependencies comes out sorted and
-/// without repetitions.
+/// Decodes the body of a submission ("POST /work"). The list of dependencies is returned sorted and
+/// without duplicates.
 Decoded<core::JobSpec, InvalidSubmission> decode_submission(const std::string& body);
 
 /// Whether a text has the form of a job id: "req-" and decimal digits, at most 32 bytes.
 bool is_valid_uid(const std::string& uid);
 
-/// Encodes the answer to a submission, poll or cancellation.
+/// Encodes the reply to a submission, poll or cancellation.
 std::string encode_user_reply(const core::UserReply& reply);
 
 }  // namespace cranemoor::wire
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -12,7 +12,12 @@
 
 namespace {
 
-constexpr std::size_t task_index_digits_max = 7;  // so that no index overflows
+// The protocol's names: a "roost" is a machine, a "breed" a machine type, a "marsh" a zone, a
+// "driftwood" machine a spot instance, a "hatchling" a task, a "launch" an attempt, a "stance" the
+// state of a task, a "cause" an exit reason; "perch" is the agent epoch, "call_seq" the sequence
+// number, "crest" the fencing token, "home_roost" the machine's owner, "settle_s" the grace period.
+
+constexpr std::size_t task_index_digits_max = 7;  // keeps the index within an int
 
 constexpr auto task_states = std::to_array<EnumName<TaskState>>({{"pulling", TaskState::fetching},
                                                                  {"gathering", TaskState::waiting},
@@ -33,7 +38,7 @@
                                             {"kill", Command::Kind::stop},
                                             {"forget", Command::Kind::forget}});
 
-// Parses a task's id, a job's id and an index: "req-000412/3".
+// Parses a task id, which is a job id and an index: "req-000412/3".
 std::optional<TaskId> parse_task_id(const std::string& text) {
     auto slash = text.rfind('/');
     if (slash == std::string::npos || slash == 0 || slash + 1 == text.size() ||
@@ -60,7 +65,7 @@
     return *id;
 }
 
-// Why a task exited; later versions of the protocol may add reasons.
+// Reads why a task exited; later versions of the protocol may add reasons.
 ExitReason read_exit_reason(const Json& map) {
     Fields fields(map);
     ExitReason reason = fields.choice("cause", exit_reasons);
@@ -102,7 +107,7 @@
     command.kind = fields.choice("call_kind", command_kinds);
     command.id = read_task_id(fields);
     command.attempt = fields.count("launch");
-    command.grace_s = fields.is_null("settle_s") ? 0 : fields.amount("settle_s");
+    command.grace_s = fields.is_null("settle_s") ? 0 : fields.number("settle_s");
     if (!fields.ok()) {
         return fields.error();
     }
@@ -122,15 +127,15 @@
     heartbeat.agent_epoch = fields.count("perch");
     heartbeat.seq = fields.count("call_seq");
     heartbeat.token = fields.count("crest");
-    heartbeat.interruption_notice_s = fields.amount_or_null("warning_s");
+    heartbeat.interruption_notice_s = fields.number_or_null("warning_s");
     if (!fields.ok()) {
         return fields.error();
     }
     if (fields.is_null("hatchlings") || !map.at("hatchlings").is_array()) {
         return invalid_field("hatchlings");
     }
-    for (const auto& each : map.at("hatchlings")) {
-        auto task = decode_task_status(each);
+    for (const auto& entry : map.at("hatchlings")) {
+        auto task = decode_task_status(entry);
         if (!task) {
             return task.error();
         }
@@ -185,8 +190,8 @@
 
 Decoded<std::vector<Command>> decode_commands(const Json& list) {
     std::vector<Command> commands;
-    for (const auto& each : list) {
-        auto command = decode_command(each);
+    for (const auto& entry : list) {
+        auto command = decode_command(entry);
         if (!command) {
             return command.error();
         }
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -1,5 +1,5 @@
-// Messages between workers and controllers (protocol, "Workers -> controller nodes" and "Controller
-// nodes -> workers").
+/// Messages between workers and controllers (protocol, "Workers -> controller nodes" and
+/// "Controller nodes -> workers").
 #pragma once
 
 #include <string>
@@ -13,20 +13,20 @@
 
 namespace cranemoor::wire {
 
-/// The path of heartbeats, with POST.
+/// Path of heartbeats; the method is POST.
 inline constexpr const char* heartbeat_path = "/hello";
 
-/// Decodes a worker's heartbeat ("POST /hello", and the answers to "POST /orders" and "GET
-/// /status"). An exit reason that the protocol does not name becomes `ExitReason::other`.
+/// Decodes a worker's heartbeat ("POST /hello", and the replies to "POST /orders" and "GET
+/// /status"). An unknown exit reason becomes `ExitReason::other`.
 Decoded<core::Heartbeat> decode_heartbeat(const Json& map);
 
-/// Decodes a message body that is a heartbeat.
+/// Decodes a message body that consists of a heartbeat.
 Decoded<core::Heartbeat> decode_heartbeat_body(const std::string& body);
 
 /// Encodes a heartbeat, to relay it to another controller.
 Json encode_heartbeat(const core::Heartbeat& heartbeat);
 
-/// Encodes the answer to a heartbeat: commands, or the name of the machine's own controller.
+/// Encodes the reply to a heartbeat: commands, or the name of the machine's owner.
 std::string encode_worker_reply(const core::WorkerReply& reply);
 
 /// The HTTP request that carries out a call to a worker: "GET /status" if its agent epoch is 0,
