--- a/src/ctl/client_request.cpp
+++ b/src/ctl/client_request.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Steady time that never comes: the deadline of a call without a limit.
+// Steady time that is never reached: the deadline of a call without a time limit.
 constexpr double never = 1e18;
 
 bool has_state(const Json& body, const char* state) {
@@ -57,7 +57,7 @@
 
 Response ClientRequest::run(Call call) {
     call_ = std::move(call);
-    deadline_ = call_.limit_s > 0 ? io::Loop::now().steady + call_.limit_s : never;
+    deadline_ = call_.total_timeout_s > 0 ? io::Loop::now().steady + call_.total_timeout_s : never;
     response_ = {};
     retry_timer_.start(0);
     loop_.run();
@@ -65,13 +65,13 @@
 }
 
 void ClientRequest::send() {
-    client_.request(call_.method, call_.target, call_.body, call_.answer_timeout_s,
-                    [this](const io::HttpMessage* message) { on_answer(message); });
+    client_.request(call_.method, call_.target, call_.body, call_.response_timeout_s,
+                    [this](const io::HttpMessage* message) { handle_response(message); });
 }
 
-// message: nullptr if none came in time.
-void ClientRequest::on_answer(const io::HttpMessage* message) {
-    double pause_s = call_.pause_s;
+// `message`: nullptr if there was no response in time.
+void ClientRequest::handle_response(const io::HttpMessage* message) {
+    double retry_delay_s = call_.retry_delay_s;
     if (message != nullptr) {
         response_.status = message->status;
         auto value = wire::decode_cbor(message->body);
@@ -81,15 +81,16 @@
             return;
         }
         if (const std::string* retry_after = message->header("retry-after")) {
-            double asked_s = std::strtod(retry_after->c_str(), nullptr);
-            pause_s = std::max(pause_s, std::min(asked_s, policy_.retry_max_s));
+            double retry_after_s = std::strtod(retry_after->c_str(), nullptr);
+            retry_delay_s =
+                std::max(retry_delay_s, std::min(retry_after_s, policy_.retry_after_max_s));
         }
     }
-    if (io::Loop::now().steady + pause_s > deadline_) {
-        finish(ExitCode::no_answer);
+    if (io::Loop::now().steady + retry_delay_s > deadline_) {
+        finish(ExitCode::no_response);
         return;
     }
-    retry_timer_.start(pause_s);
+    retry_timer_.start(retry_delay_s);
 }
 
 void ClientRequest::finish(ExitCode exit) {
@@ -99,31 +100,31 @@
 
 Response ClientRequest::submit(const Json& job) {
     return run({"POST", "/work", wire::encode_cbor(job), constants::submission_response_timeout_s,
-                policy_.again_s, policy_.request_s, classify_submission});
+                policy_.retry_interval_s, policy_.retry_duration_s, classify_submission});
 }
 
 Response ClientRequest::cancel(const std::string& uid) {
     return run({"POST", fmt::format("/work/{}/cancel", uid), "",
-                constants::submission_response_timeout_s, policy_.again_s, policy_.request_s,
-                classify_known_job});
+                constants::submission_response_timeout_s, policy_.retry_interval_s,
+                policy_.retry_duration_s, classify_known_job});
 }
 
 Response ClientRequest::status(const std::string& uid) {
     return run({"GET", fmt::format("/work/{}", uid), "", constants::status_response_timeout_s,
-                policy_.again_s, policy_.request_s, classify_known_job});
+                policy_.retry_interval_s, policy_.retry_duration_s, classify_known_job});
 }
 
 Response ClientRequest::wait(const std::string& uid) {
     return run({"GET", fmt::format("/work/{}", uid), "", constants::status_response_timeout_s,
-                policy_.poll_s, policy_.wait_s, classify_wait});
+                policy_.poll_interval_s, policy_.wait_timeout_s, classify_wait});
 }
 
 std::string describe(const Response& response, bool json) {
     const Json& body = response.body;
     if (json) {
-        Json shown = body;
-        shown["status"] = response.status;
-        return shown.dump();
+        Json output = body;
+        output["status"] = response.status;
+        return output.dump();
     }
     if (response.status == 0) {
         return "no answer";
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -1,4 +1,4 @@
-// cranemoorctl: the users' command line. docs/operations.md lists its commands and exit codes.
+/// cranemoorctl: the users' command line. docs/operations.md lists its commands and exit codes.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -15,29 +15,29 @@
 namespace ctl = cranemoor::ctl;
 namespace wire = cranemoor::wire;
 
-/// Prints what is wrong with the command line or its file; returns the exit code.
+/// Prints an error in the command line or the job file and returns the exit code.
 int usage_error(const std::string& text) {
     std::fprintf(stderr, "cranemoorctl: %s\n", text.c_str());
     return static_cast<int>(ctl::ExitCode::usage_error);
 }
 
-/// A job read from a file, or what is wrong with the file.
+/// A job read from a file, or the error in the file.
 struct JobFile {
     Json job;
-    std::string error;  // empty: none
+    std::string error;  // empty: no error
 };
 
-/// Reads a submission in JSON and checks its form; file "-" is standard input.
+/// Reads and validates a submission in JSON; the file "-" is standard input.
 JobFile read_job_file(const std::string& file) {
-    std::ifstream in;
+    std::ifstream file_input;
     if (file != "-") {
-        in.open(file, std::ios::binary);
-        if (!in) {
-            return {Json(), file + ": cannot be read"};
+        file_input.open(file, std::ios::binary);
+        if (!file_input) {
+            return {Json(), file + ": cannot open the file"};
         }
     }
-    std::istream& from = file == "-" ? std::cin : in;
-    std::string text{std::istreambuf_iterator<char>(from), std::istreambuf_iterator<char>()};
+    std::istream& input = file == "-" ? std::cin : file_input;
+    std::string text{std::istreambuf_iterator<char>(input), std::istreambuf_iterator<char>()};
     Json job = Json::parse(text, nullptr, false);
     if (job.is_discarded()) {
         return {Json(), file + ": not JSON"};
@@ -59,28 +59,30 @@
     ctl::RetryPolicy policy;
     std::string file;
     std::string uid;
-    app.add_option("--server", server, "address of the controllers, host:port")
+    app.add_option("--server", server, "IPv4 address of a controller or load balancer, host:port")
         ->capture_default_str();
-    app.add_flag("--json", json, "print answers as JSON");
-    app.add_option("--timeout", policy.request_s, "seconds a request is repeated at the most")
+    app.add_flag("--json", json, "print responses as JSON");
+    app.add_option("--timeout", policy.retry_duration_s,
+                   "time limit for retrying a request, in seconds")
         ->check(CLI::Range(0.1, 86400.0))
         ->capture_default_str();
     app.set_version_flag("--version", "cranemoorctl " CRANEMOOR_VERSION);
-    auto* submit = app.add_subcommand("submit", "submit the job that a JSON file describes");
-    submit->add_option("FILE", file, "the job, as the protocol has it; - reads standard input")
+    auto* submit = app.add_subcommand("submit", "submit a job described in a JSON file");
+    submit->add_option("FILE", file, "job file in the protocol's format; - for standard input")
         ->required();
-    auto* status = app.add_subcommand("status", "say how a job stands");
-    auto* cancel = app.add_subcommand("cancel", "cancel a job and all that need it");
-    auto* wait = app.add_subcommand("wait", "wait until a job is over");
+    auto* status = app.add_subcommand("status", "show the state of a job");
+    auto* cancel = app.add_subcommand("cancel", "cancel a job and all jobs that depend on it");
+    auto* wait = app.add_subcommand("wait", "wait until a job has ended");
     for (auto* command : {status, cancel, wait}) {
-        command->add_option("UID", uid, "the job, as in req-000412")->required();
+        command->add_option("UID", uid, "uid of the job, such as req-000412")->required();
     }
-    wait->add_option("--for", policy.wait_s, "seconds to wait at the most")
+    wait->add_option("--for", policy.wait_timeout_s,
+                     "time limit for waiting, in seconds; default: no limit")
         ->check(CLI::Range(0.1, 1e7));
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        int code = app.exit(e);
+    } catch (const CLI::ParseError& error) {
+        int code = app.exit(error);
         return code == 0 ? 0 : static_cast<int>(ctl::ExitCode::usage_error);
     }
     std::signal(SIGPIPE, SIG_IGN);
@@ -93,7 +95,7 @@
         }
         job = std::move(read.job);
     } else if (!wire::is_valid_uid(uid)) {
-        return usage_error("no uid of a job: " + uid);
+        return usage_error("invalid job uid: " + uid);
     }
     cranemoor::io::Loop loop;
     ctl::ClientRequest request(loop, server, policy);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+/// cranemoor: the controller of the cluster scheduler.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -14,7 +15,7 @@
 
 namespace {
 
-void set_up_log() {
+void set_up_logging() {
     spdlog::set_default_logger(std::make_shared<spdlog::logger>(
         "cranemoor", std::make_shared<spdlog::sinks::stderr_sink_st>()));
     spdlog::set_pattern("%Y-%m-%d %H:%M:%S.%e %l %v");
@@ -22,47 +23,47 @@
     spdlog::set_level(spdlog::level::from_str(level == nullptr ? "info" : level));
 }
 
-// Tells this start of the process from every other one.
-std::string boot_word() {
-    std::random_device source;
-    return fmt::format("{:08x}{:08x}", source(), source());
+// A random id that distinguishes this run of the process from every other one.
+std::string make_boot_id() {
+    std::random_device random;
+    return fmt::format("{:08x}{:08x}", random(), random());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
     CLI::App app{"cranemoor, a cluster scheduler"};
-    std::string config;
-    std::string operators;
-    bool check = false;
-    app.add_option("--config", config, "the platform's settings file (TOML)")->required();
-    app.add_option("--operators", operators, "the operators' own settings (XML)");
-    app.add_flag("--check-config", check, "read the settings, say whether they are valid, and end");
+    std::string config_path;
+    std::string operators_path;
+    bool check_only = false;
+    app.add_option("--config", config_path, "the platform's settings file (TOML)")->required();
+    app.add_option("--operators", operators_path, "the operators' settings file (XML)");
+    app.add_flag("--check-config", check_only, "check the settings and exit");
     app.set_version_flag("--version", "cranemoor " CRANEMOOR_VERSION);
     CLI11_PARSE(app, argc, argv);
 
     try {
-        set_up_log();
-        auto settings = cranemoor::config::read_settings(config);
+        set_up_logging();
+        auto settings = cranemoor::config::read_settings(config_path);
         cranemoor::core::Tunables tunables;
-        if (!operators.empty()) {
-            tunables = cranemoor::config::read_operators(operators);
+        if (!operators_path.empty()) {
+            tunables = cranemoor::config::read_operators(operators_path);
         }
         cranemoor::config::check(settings, tunables);
-        if (check) {
+        if (check_only) {
             std::puts("settings are valid");
             return 0;
         }
         std::signal(SIGPIPE, SIG_IGN);
         cranemoor::io::Loop loop;
-        cranemoor::core::Controller controller(settings, tunables, boot_word());
+        cranemoor::core::Controller controller(settings, tunables, make_boot_id());
         cranemoor::io::Gateway gateway(loop, settings, controller);
-        spdlog::info("{} in {} serves on {}", settings.name, settings.zone,
-                     settings.listen_address);
+        spdlog::info("controller {} in zone {}: serving clients on {}", settings.name,
+                     settings.zone, settings.listen_address);
         gateway.start();
         loop.run();
-    } catch (const std::exception& e) {
-        std::fprintf(stderr, "cranemoor: %s\n", e.what());
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "cranemoor: %s\n", error.what());
         return 1;
     }
     return 0;
--- a/src/sockets/connection_shedding.cpp
+++ b/src/sockets/connection_shedding.cpp
@@ -18,8 +18,10 @@
     return {0, constants::user_keep_alive_share};
 }
 
-bool keep_open(const ShedPolicy& policy, std::size_t open, std::size_t limit) {
-    return static_cast<double>(open) < policy.keep_below * static_cast<double>(limit);
+bool keep_open(const ShedPolicy& policy, std::size_t open_connections,
+               std::size_t connections_max) {
+    return static_cast<double>(open_connections) <
+           policy.keep_alive_share * static_cast<double>(connections_max);
 }
 
 }  // namespace cranemoor::sockets
--- a/src/sockets/connection_shedding.hpp
+++ b/src/sockets/connection_shedding.hpp
@@ -1,37 +1,40 @@
-// Which idle connections are closed when the listening sockets run short. A pure policy: the kind
-// of client and the number of open connections in, what becomes of the connection out.
-//
-// 1. Room for the other controllers, the key-value store and the cloud is never given away: clients
-//    get only a part of all sockets (constants::client_connections_share).
-// 2. Connections without a request yet, and those of health checks, are closed first.
-// 3. Then users': a poll is one of many, and a new connection may go to a controller with room.
-// 4. Last the workers': a heartbeat that finds no socket costs lease time and with it running work.
-//
-// Long before all sockets are taken, a response asks the client to close: a worker that sends a
-// heartbeat every few seconds needs a socket for some hundredths of a second of them, a user no
-// more.
+/// Policy for closing connections when the server approaches its connection limit. Pure functions
+/// of the kind of client and the number of open connections.
+///
+/// 1. Clients never get the sockets reserved for the other controllers, the key-value store and the
+///    cloud: they are limited to a share of all sockets (constants::client_connections_share).
+/// 2. Idle connections that have not sent a request, and those of health checks, are closed first.
+/// 3. Users' connections follow: users poll repeatedly, and a new connection may reach a controller
+///    with free connections.
+/// 4. Workers' connections are closed last: a heartbeat without a socket costs lease time and, with
+///    the lease, running tasks.
+///
+/// Long before all sockets are in use, responses ask clients to close their connections: a worker
+/// that sends a heartbeat every few seconds needs a socket for only some hundredths of a second
+/// each time, and a user no longer.
 #pragma once
 
 #include <cstddef>
 
 namespace cranemoor::sockets {
 
-/// Who is at the other end of a connection, as its last request showed.
+/// Kind of client on a connection, according to its last request.
 enum class ClientKind { unknown, user, worker };
 
-/// How long connections of one kind of client are kept.
+/// When connections of one kind of client are closed.
 struct ShedPolicy {
-    /// Of idle connections those with the lowest rank are closed first.
+    /// Idle connections with the lowest rank are closed first.
     int rank = 0;
-    /// The share of the connections for clients, in use, from which on a response ends its own.
-    double keep_below = 0;
+    /// Fraction of the client connections in use, from 0 to 1, at or above which a response closes
+    /// its connection.
+    double keep_alive_share = 0;
 };
 
 /// The policy for a kind of client.
 ShedPolicy shed_policy(ClientKind client);
 
-/// Whether a connection stays open after its response. `open` counts the open connections with this
-/// one, `limit` is the most that may be open.
-bool keep_open(const ShedPolicy& policy, std::size_t open, std::size_t limit);
+/// Whether a connection stays open after its response. `open_connections` includes this connection,
+/// `connections_max` is the limit.
+bool keep_open(const ShedPolicy& policy, std::size_t open_connections, std::size_t connections_max);
 
 }  // namespace cranemoor::sockets
